--- a/mothnotch/decisions/leaf_membership/catalogue_answers.py
+++ b/mothnotch/decisions/leaf_membership/catalogue_answers.py
@@ -1,4 +1,4 @@
-"""Messages of the leaf membership: what agents answer, what is cached on disk, local evidence."""
+"""Messages of the leaf membership: agents' answers, cached leaves and local evidence."""
 
 from dataclasses import dataclass, field
 
@@ -9,58 +9,59 @@
 WARNING = "warning"
 CRITICAL = "critical"
 
-# An agent that has not heard from its leader for longer is stale: its list may be of any age.
+# An answer is stale if its agent last heard from the leader longer ago: the list may be of any age.
 STALE_CONTACT_MS = 5000.0
 
 
 @dataclass(slots=True, frozen=True)
 class Instance:
-    """One instance of the service as an answer states it.
+    """One instance of the service, as listed in an answer.
 
-    `name` is node/id: ids are unique on a node only.
+    `name` is node/id, since service ids are unique only within a node.
     """
 
     name: str
     address: str
     tags: tuple[str, ...] = ()
     meta: dict[str, str] = field(default_factory=dict)
-    # While passing, while warning.
+    # The weights while the checks are passing and while one is warning.
     weights: tuple[int, int] = (1, 1)
     # (check id, status) pairs.
     checks: tuple[tuple[str, str], ...] = ()
-    # The catalogue's index of its registration.
+    # The catalogue index at which the instance was registered.
     create_index: int = 0
 
 
 @dataclass(slots=True, frozen=True)
 class CatalogueAnswer:
-    """A whole answer of an agent about the service."""
+    """An agent's answer to one query for the instances of the service."""
 
     agent: int
     asked_us: int
     index: int
     instances: tuple[Instance, ...]
-    # The leader vouches for it.
+    # The answer was given in consistent mode: the leader confirmed that it is current.
     consistent: bool = False
     known_leader: bool = True
     last_contact_ms: float = 0.0
-    # An access list kept entries back.
+    # ACLs removed entries from the answer.
     filtered: bool = False
-    # Errors of entries that could not be read.
+    # Parse errors, one for each entry that could not be parsed.
     unreadable: tuple[str, ...] = ()
 
     @property
     def is_stale(self) -> bool:
-        """Whether the answer itself says that it may be old."""
+        """Whether the headers of the answer say that it may be out of date."""
         return not self.known_leader or self.last_contact_ms > STALE_CONTACT_MS
 
 
 @dataclass(slots=True, frozen=True)
 class CachedLeaf:
-    """One leaf as the list cached on disk has it.
+    """One leaf in the list cached on disk.
 
-    Seconds of the wall clock: `stated_start_s` as the leaf states it, `observed_start_s` as the
-    root took it; None: not stated, or long ago.
+    Both start times are in seconds of the wall clock. `stated_start_s` is the start that the leaf
+    states in its metadata, or None if it states none. `observed_start_s` is the start that the root
+    assumes, or None if it was long ago.
     """
 
     name: str
@@ -76,13 +77,13 @@
 
 @dataclass(slots=True)
 class LocalEvidence:
-    """What the root's own connections to a leaf met last, in us on the root's clock."""
+    """When a leaf last answered and last failed on the root's own connections (monotonic us)."""
 
     answered_us: int | None = None
     failed_us: int | None = None
 
     def is_failing(self, now_us: int, span_us: int) -> bool:
-        """Return whether nothing but failures came for `span_us`."""
+        """Return whether the leaf has given nothing but failures for `span_us`."""
         if self.failed_us is None:
             return False
         if self.answered_us is None:
@@ -92,7 +93,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Note:
-    """A line for the log; `level` is the name of the log's method."""
+    """A line to log; `level` is the name of the logger's method."""
 
     level: str
     text: str
--- a/mothnotch/decisions/leaf_membership/departures.py
+++ b/mothnotch/decisions/leaf_membership/departures.py
@@ -1,26 +1,27 @@
-"""Whether leaves that an answer lacks may be removed, at once or after they were held."""
+"""Rules for removing leaves that an answer does not list, at once or after a hold time."""
 
 from collections import deque
 
 from mothnotch.decisions.leaf_membership.catalogue_answers import CatalogueAnswer, LocalEvidence
 from mothnotch.decisions.leaf_membership.settings import MembershipSettings
 
-# Departures within so long are weighed together: a list that shrinks one by one shrinks as much.
+# Departures within this window are counted together: a list that loses its leaves one by one
+# shrinks as much as one that loses them all at once.
 SHRINK_WINDOW_US = 10_000_000
 
 
 class Departures:
-    """The departures of late; bound: those within the window."""
+    """The times of recent departures; bounded, as those outside the window are dropped."""
 
     def __init__(self, max_shrink_ratio: float):
-        """Doubt answers that lack more than this share of the list."""
+        """Limit the departures within a window to a share of the list."""
         self._max_shrink_ratio = max_shrink_ratio
         self._departed_us = deque()
 
     def is_sharp(self, missing_count: int, listed_count: int, now_us: int) -> bool:
-        """Return whether so many that are up, missing at once, shrink the list too sharply.
+        """Return whether the departure of `missing_count` leaves exceeds the limit.
 
-        A single one never does.
+        Both counts are of leaves that are up. A single departure never exceeds the limit.
         """
         while self._departed_us and self._departed_us[0] < now_us - SHRINK_WINDOW_US:
             self._departed_us.popleft()
@@ -32,33 +33,33 @@
         )
 
     def on_removed(self, count: int, now_us: int) -> None:
-        """Count leaves that were up and are removed now."""
+        """Record the removal of `count` leaves that were up."""
         self._departed_us.extend([now_us] * count)
 
 
 def why_incomplete(
     answer: CatalogueAnswer, any_up_missing: bool, in_new_incarnation: bool
 ) -> str | None:
-    """Return why an answer says nothing of the leaves that it lacks, or None if it does."""
+    """Return why an answer is no evidence that missing leaves are gone, or None if it is."""
     if in_new_incarnation:
-        return "a new life of the catalogue lacks leaves"
+        return "a new incarnation of the catalogue does not list all leaves"
     if answer.filtered:
-        return "an access list kept entries back"
+        return "entries were filtered by ACLs"
     if answer.unreadable:
-        return "entries could not be read"
+        return "entries could not be parsed"
     if not answer.instances and any_up_missing:
-        return "the answer names nobody"
+        return "the answer lists no instances"
     return None
 
 
 def why_hold_no_longer(
     missing_since_us: int, evidence: LocalEvidence, settings: MembershipSettings, now_us: int
 ) -> str | None:
-    """Return why a missing leaf is held no longer, or None if it is."""
+    """Return why a missing leaf that was kept is to be removed, or None if it is still kept."""
     is_failing = evidence.is_failing(now_us, settings.local_failure_us)
     if is_failing and now_us - missing_since_us > settings.local_failure_us:
-        return "a held leaf does not answer either; it is taken off"
+        return "a leaf missing from the catalogue fails on the root's connections; it is removed"
     last_heard_us = max(missing_since_us, evidence.answered_us or 0)
     if now_us - last_heard_us > settings.hold_missing_us:
-        return "a held leaf was neither named again nor heard of; it is taken off"
+        return "a leaf missing from the catalogue was not heard from in time; it is removed"
     return None
--- a/mothnotch/decisions/leaf_membership/eligibility.py
+++ b/mothnotch/decisions/leaf_membership/eligibility.py
@@ -1,7 +1,8 @@
-"""Which leaves take new work: the catalogue's states and health together, within limits.
+"""Select the leaves that take new work, from their state in the catalogue and their health.
 
-Health takes off neither more than a share of the list nor the last holder of a range: so many do
-not fall ill at once, the checks do, and a range without a leaf is worse than one with a doubtful.
+Health never takes out more than a share of the list: when so many checks fail at once, the checks
+themselves are the likelier fault. Nor does it take out the last leaf that holds a range: a range
+without any leaf is worse than one with an unhealthy leaf.
 """
 
 from collections.abc import Mapping
@@ -12,7 +13,7 @@
 
 
 def effective_states(members: Mapping[str, Member], settings: MembershipSettings) -> dict[str, str]:
-    """Return the state (up or draining) that the module gets of each leaf, by name."""
+    """Return the state (up or draining) of each leaf that the module is given, by name."""
     admitted = [
         member
         for member in members.values()
@@ -26,7 +27,7 @@
 
 
 def _unhealthy(admitted, settings):
-    """Names that health takes off; none if they are more than the settings' share."""
+    """Return the names of unhealthy leaves, or none if they exceed the settings' share."""
     if not settings.health:
         return set()
     names = {
@@ -38,7 +39,10 @@
 
 
 def _without_last_holders(unhealthy, admitted, settings):
-    """The names less those of the last holders of a range, which are `reach` neighbouring cells."""
+    """Return `unhealthy` without the last holders of any range.
+
+    A range is held by `reach` adjacent cells.
+    """
     held_cells = {member.cell for member in admitted if member.name not in unhealthy}
     for first_cell in range(settings.cells):
         holding = {(first_cell + offset) % settings.cells for offset in range(settings.reach)}
--- a/mothnotch/decisions/leaf_membership/incarnation_candidate.py
+++ b/mothnotch/decisions/leaf_membership/incarnation_candidate.py
@@ -1,4 +1,4 @@
-"""What may be a new incarnation of the catalogue: what its answers name, until that is settled."""
+"""Track answers that may come from a new incarnation of the catalogue, until that is resolved."""
 
 from collections.abc import Iterable, Mapping
 
@@ -9,23 +9,23 @@
 
 
 class IncarnationCandidate:
-    """The newest index of the candidate, and the names that it has named so far.
+    """The highest index of a possible new incarnation, and the names that it has listed so far.
 
-    Bound: the names of the answers that came during one doubt, each of limited bytes.
+    Bounded by the names in the answers that arrive during one doubt, each of limited size.
     """
 
     def __init__(self):
-        """Begin without a candidate."""
+        """Start without a candidate."""
         self._index = 0
         self._names: set[str] = set()
 
     def clear(self) -> None:
-        """Forget the candidate: the doubt is resolved."""
+        """Discard the candidate, as the doubt is resolved."""
         self._index = 0
         self._names = set()
 
     def named(self, members: Mapping[str, Member]) -> Iterable[Member]:
-        """Return the members that the candidate has named."""
+        """Return the members that the candidate has listed."""
         return [members[name] for name in self._names & members.keys()]
 
     def on_answer(
@@ -34,7 +34,7 @@
         members: Mapping[str, Member],
         settings: MembershipSettings,
     ) -> None:
-        """Mark the members that the answer drains or removes: they take nothing new meanwhile."""
+        """Mark the members that the answer drains or removes: they get no new work meanwhile."""
         if answer.index < self._index:
             return
         names = {instance.name for instance in answer.instances}
--- a/mothnotch/decisions/leaf_membership/instance_reading.py
+++ b/mothnotch/decisions/leaf_membership/instance_reading.py
@@ -1,4 +1,4 @@
-"""What the marks of one instance mean: drains, health, weight, its cell and its stated start."""
+"""Derive the drain state, health, weight, cell and stated start of one catalogue instance."""
 
 import math
 
@@ -15,7 +15,7 @@
 
 
 def is_draining(instance: Instance, settings: MembershipSettings) -> bool:
-    """Return whether an instance is marked as draining, by whatever the settings say marks one."""
+    """Return whether an instance is marked as draining in any way that the settings enable."""
     if settings.drain_maintenance and _in_maintenance(instance):
         return True
     if not settings.drain_tags.isdisjoint(instance.tags):
@@ -26,9 +26,9 @@
 
 
 def worst_health(instance: Instance) -> str:
-    """Return the status of its worst check; maintenance is no matter of health.
+    """Return the status of the instance's worst check, maintenance checks excepted.
 
-    A status that is not known counts as critical: what it means cannot be guessed.
+    An unknown status counts as critical, since its meaning cannot be guessed.
     """
     worst = PASSING
     for check_id, status in instance.checks:
@@ -42,14 +42,14 @@
 
 
 def weight_in_force(instance: Instance, health: str) -> int:
-    """Return the weight that holds at a health."""
+    """Return the weight of an instance at the given health."""
     return instance.weights[health == WARNING]
 
 
 def placement(instance: Instance, settings: MembershipSettings) -> tuple[int, float | None]:
     """Return the cell and the stated start (seconds of the wall clock, or None) of an instance.
 
-    Raise ValueError, which says what is wrong, if either cannot be used.
+    Raise ValueError if the metadata of either is missing or invalid.
     """
     cell_text = instance.meta.get(settings.cell_key)
     if (
--- a/mothnotch/decisions/leaf_membership/member.py
+++ b/mothnotch/decisions/leaf_membership/member.py
@@ -1,4 +1,4 @@
-"""The state of one instance: what the catalogue last said of it."""
+"""The state of one instance, as last listed by the catalogue."""
 
 from mothnotch.decisions.leaf_membership.catalogue_answers import (
     CRITICAL,
@@ -11,7 +11,7 @@
 
 
 class Member:
-    """What is known of one instance."""
+    """The known state of one instance."""
 
     __slots__ = (
         "address",
@@ -31,31 +31,31 @@
     )
 
     def __init__(self, name: str):
-        """Begin with nothing known but the name (node/id)."""
+        """Create a member of which only the name (node/id) is known."""
         self.name = name
         self.address = ""
         self.zone = ""
         self.cell = 0
         self.weight = 1.0
-        # Up or draining, as the catalogue says, health aside.
+        # Up or draining according to the catalogue, regardless of health.
         self.admin_state = UP
         self.health = PASSING
-        # On the root's own clock; 0: long ago.
+        # Microseconds on the root's monotonic clock; 0: long ago.
         self.started_us = 0
-        # Seconds of the wall clock, as the instance states it; None: it states none.
+        # Seconds of the wall clock, from the instance's metadata; None: not stated.
         self.stated_start_s = None
         self.create_index = 0
-        # When an answer first lacked it, since it was named last; None: it is named.
+        # When an answer first omitted it; None: the latest answer lists it.
         self.missing_since_us = None
-        # It was named before the catalogue lost its state, and not since.
+        # It was listed before the catalogue lost its state, and not since.
         self.in_lost_incarnation = False
-        # The index at which what may be a new incarnation said that it departs; 0: it did not.
+        # The index at which a possible new incarnation drained or removed it; 0: it did neither.
         self.provisional_drain_index = 0
         self.damping = FlapDamping()
 
     @classmethod
     def from_cache(cls, cached: CachedLeaf, started_us: int) -> "Member":
-        """Return the state of a leaf that the list cached on disk names."""
+        """Return a member with the state of a leaf from the list cached on disk."""
         member = cls(cached.name)
         member.address = cached.address
         member.zone = cached.zone
@@ -68,7 +68,7 @@
         return member
 
     def to_cache(self, now_us: int, wall_s: float) -> CachedLeaf:
-        """Return what is cached on disk of it: the catalogue's state, not the damped one."""
+        """Return the leaf to cache on disk, with the catalogue's state and not the damped one."""
         observed_start_s = None
         if self.started_us:
             observed_start_s = wall_s - (now_us - self.started_us) / 1e6
@@ -86,19 +86,19 @@
 
     @property
     def is_serving(self) -> bool:
-        """Whether all that the catalogue says lets it take new work."""
+        """Whether the catalogue, by both state and health, lets it take new work."""
         return self.admin_state == UP and self.health != CRITICAL
 
     @property
     def awaits_release(self) -> bool:
-        """Whether flap damping alone keeps it off."""
+        """Whether flap damping alone keeps it out of service."""
         return self.damping.suppressed and self.is_serving
 
     def is_another_process(self, instance: Instance, stated_start_s: float | None) -> bool:
         """Return whether an instance is another process than the one known by its name.
 
-        What a new incarnation of the catalogue registers anew has a new index of its own, and may
-        well be the same process.
+        An instance that is registered again in a new incarnation of the catalogue gets a new
+        `create_index`, though it may be the same process.
         """
         if self.address != instance.address:
             return True
--- a/mothnotch/decisions/leaf_membership/membership.py
+++ b/mothnotch/decisions/leaf_membership/membership.py
@@ -1,6 +1,6 @@
-"""The membership of one service's leaves: merges agents' answers into one list.
+"""The membership of one service's leaves: merge agents' answers into one list.
 
-The rules stand in the package's docstring. Bound: `max_instances` members.
+The package's docstring states the rules. Bounded to `max_instances` members.
 """
 
 from collections.abc import Iterable, Mapping
@@ -31,43 +31,44 @@
 from mothnotch.decisions.leaf_membership.settings import MembershipSettings
 from mothnotch.decisions.leaf_membership.start_estimate import StartEstimate
 
-# The weight of a leaf whose weight 0 is not said to drain: it must stay above 0.
+# The weight used for a leaf of weight 0 where that does not mean draining: weights must be above 0.
 LEAST_WEIGHT = 0.01
-# Notes that wait for the log; more are dropped, so that a flood of bad entries takes no memory.
+# The most lines that wait to be logged. Further ones are dropped, so that a flood of invalid
+# entries does not fill the memory.
 MAX_NOTES = 100
-# Names in one note.
+# The most names in one log line.
 MAX_NOTED_LEAVES = 20
 
 
 class LeafMembership:
     """The list of one service.
 
-    `doubt` is None, or why a consistent answer of every agent is wanted.
+    `doubt` is the reason to ask every agent for a consistent answer, or None.
     """
 
     def __init__(self, settings: MembershipSettings):
-        """Begin with an empty list, before any answer."""
+        """Create an empty list, before any answer."""
         self.settings = settings
         self.members: dict[str, Member] = {}
         self.doubt: str | None = None
-        # Of the newest answer merged, and when its index was first seen.
+        # The index of the newest merged answer, and when that index was first seen.
         self.index = 0
         self._index_seen_us = 0
-        # How often the catalogue lost its state, and the index it had then.
+        # How often the catalogue lost its state, and the index before the last loss.
         self.incarnation = 0
         self._lost_index = 0
         self._candidate = IncarnationCandidate()
         self._starts = StartEstimate(settings.clock_skew_s)
         self._departures = Departures(settings.max_shrink_ratio)
-        # For the log; the caller empties it.
+        # Lines to log; the caller logs and clears them.
         self.notes: list[Note] = []
 
-    # ---- what comes in ----
+    # ---- inputs ----
 
     def start_from_cache(
         self, cached: list[CachedLeaf], index: int, now_us: int, wall_s: float
     ) -> None:
-        """Begin from the list cached on disk."""
+        """Start from the list cached on disk."""
         self.index = index
         self._index_seen_us = now_us
         self._starts.blind_since_us = now_us
@@ -77,11 +78,11 @@
             self.members[leaf.name] = Member.from_cache(leaf, started_us)
 
     def on_agent_failure(self, now_us: int) -> None:
-        """Note that an agent gave no answer that could be used."""
+        """Record that an agent gave no usable answer."""
         self._starts.on_agent_failure(now_us)
 
     def on_answer(self, now_us: int, wall_s: float, answer: CatalogueAnswer) -> bool:
-        """Merge an agent's answer to a query of the watch; return whether it came in order."""
+        """Merge an answer to a query of the watch; return False if it is out of order."""
         from_lost_incarnation = (
             answer.is_stale and self.incarnation and answer.index <= self._lost_index
         )
@@ -99,9 +100,10 @@
         answers: Iterable[CatalogueAnswer],
         complete: bool = True,
     ) -> bool:
-        """Merge the best of consistent answers, all asked for at `asked_us`, if that is the truth.
+        """Merge the newest of the consistent answers, if it proves the state of the catalogue.
 
-        `complete`: no further one will come. Return whether that resolved the doubt.
+        All answers were requested at `asked_us`; `complete` says that no further one will arrive.
+        Return whether the doubt is resolved.
         """
         answers = [answer for answer in answers if answer.consistent]
         if not answers:
@@ -111,8 +113,8 @@
             self.doubt = None
             self._merge(now_us, wall_s, best, confirmed=True)
         elif complete and asked_us > self._index_seen_us:
-            # A consistent answer cannot be older than what was seen before it was asked for: this
-            # is another incarnation.
+            # A consistent answer cannot be older than an index seen before its query was sent, so
+            # this one comes from a new incarnation.
             self._begin_incarnation(now_us, wall_s, best)
         else:
             return False
@@ -120,9 +122,9 @@
         return True
 
     def on_tick(self, now_us: int, evidence: Mapping[str, LocalEvidence]) -> None:
-        """Let calm leaves back, and remove missing ones whose time is over or that fail here too.
+        """Release stable leaves, and remove missing ones that timed out or fail their connections.
 
-        `evidence`: what the root's own connections met, by name.
+        `evidence` holds the outcomes of the root's own connections by leaf name.
         """
         for member in list(self.members.values()):
             if member.awaits_release:
@@ -135,22 +137,22 @@
                 self._note("warning", why, leaf=member.name)
                 del self.members[member.name]
 
-    # ---- what comes out ----
+    # ---- outputs ----
 
     def next_release_us(self) -> int | None:
-        """Return when a damped leaf may come back, in us; None if none may.
+        """Return when the next suppressed leaf may return, in us; None if there is none.
 
-        What is missing is looked at with every `on_tick`.
+        Missing leaves have no time of their own: every `on_tick` checks them.
         """
         waiting = [member for member in self.members.values() if member.awaits_release]
         return min((member.damping.calm_us() + 1 for member in waiting), default=None)
 
     def effective_states(self) -> dict[str, str]:
-        """Return the state that the module gets of each leaf, by name."""
+        """Return the state of each leaf that the module is given, by name."""
         return eligibility.effective_states(self.members, self.settings)
 
     def entries(self) -> tuple[Endpoint, ...]:
-        """Return the entries of the list, in the order of their names."""
+        """Return the entries of the list, sorted by name."""
         states = self.effective_states()
         return tuple(
             Endpoint(
@@ -166,17 +168,17 @@
 
     @property
     def is_live(self) -> bool:
-        """Whether an agent's answer was merged since the start."""
+        """Whether an agent's answer has been merged since the start."""
         return self._starts.live
 
     @property
     def is_blind(self) -> bool:
-        """Whether no answer was merged since an agent failed, or since a start from the cache."""
+        """Whether no answer was merged since an agent failed or the list came from the cache."""
         return self._starts.blind_since_us is not None
 
     @property
     def kind(self) -> WatchEventKind:
-        """What the list is for the module."""
+        """The kind of watch event in which the module gets the list."""
         return WatchEventKind.SNAPSHOT if self.is_live else WatchEventKind.CACHED
 
     def addresses(self) -> dict[str, str]:
@@ -184,32 +186,32 @@
         return {name: member.address for name, member in self.members.items()}
 
     def cached_list(self, now_us: int, wall_s: float) -> list[CachedLeaf]:
-        """Return what is to be cached on disk: the catalogue's states, not damped ones."""
+        """Return the list to cache on disk, with the catalogue's states and not the damped ones."""
         return [member.to_cache(now_us, wall_s) for _, member in sorted(self.members.items())]
 
     # ---- merging ----
 
     def _on_older_answer(self, answer):
-        """Weigh an answer out of order: late, stale, or the first of a new incarnation."""
+        """Handle an answer out of order: late, stale, or the first of a new incarnation."""
         if answer.is_stale or answer.index >= self.index:
             return
-        self.doubt = "an answer's index went back"
+        self.doubt = "an answer has a lower index than an earlier one"
         self._candidate.on_answer(answer, self.members, self.settings)
 
     def _begin_incarnation(self, now_us, wall_s, answer):
-        """Merge the first answer of an incarnation that is proven new."""
+        """Merge the first answer of an incarnation that is proved to be new."""
         self.incarnation += 1
         self._lost_index = self.index
         self.doubt = None
         self._note(
             "error",
-            "the catalogue lost its state or was restored; leaves that it lacks are held",
+            "the catalogue lost its state or was restored; leaves missing from it are kept",
             index=answer.index,
             before=self.index,
         )
         self._merge(now_us, wall_s, answer, in_new_incarnation=True)
         for member in self._candidate.named(self.members):
-            # The new incarnation has named it, if not in this answer.
+            # The new incarnation has listed it, though perhaps not in this answer.
             member.in_lost_incarnation = False
 
     def _merge(self, now_us, wall_s, answer, confirmed=False, in_new_incarnation=False):
@@ -219,7 +221,7 @@
         for error in answer.unreadable:
             self._note(
                 "error",
-                "an entry of the catalogue cannot be read; it is left as it was",
+                "a catalogue entry cannot be parsed; its leaf is kept as it was",
                 error=error,
             )
         names = set()
@@ -235,13 +237,13 @@
             self._on_missing(now_us, answer, missing, confirmed, in_new_incarnation)
         if not self.doubt:
             for member in self.members.values():
-                # What was said at a later index than this answer's is not taken back by it.
+                # An answer does not revoke a drain from a later index than its own.
                 if member.provisional_drain_index <= answer.index:
                     member.provisional_drain_index = 0
         self._starts.on_live()
 
     def _on_missing(self, now_us, answer, missing, confirmed, in_new_incarnation):
-        """Remove or hold the members that an answer does not name any more."""
+        """Remove or keep the members that an answer no longer lists."""
         missing_up = sum(member.admin_state == UP for member in missing)
         listed_up = sum(member.admin_state == UP for member in self.members.values())
         is_sharp = self._departures.is_sharp(missing_up, listed_up, now_us)
@@ -252,12 +254,12 @@
             self._departures.on_removed(missing_up, now_us)
             return
         if reason is None:
-            reason = self.doubt = "the list shrank sharply"
+            reason = self.doubt = "too many leaves are missing at once"
         newly_missing = [member for member in missing if member.missing_since_us is None]
         if newly_missing:
             self._note(
                 "error",
-                "leaves that the answer lacks are held",
+                "leaves missing from the answer are kept",
                 why=reason,
                 leaves=sorted(member.name for member in newly_missing)[:MAX_NOTED_LEAVES],
                 count=len(newly_missing),
@@ -268,19 +270,24 @@
             member.in_lost_incarnation = member.in_lost_incarnation or in_new_incarnation
 
     def _on_instance(self, now_us, wall_s, instance):
-        """Merge what an answer says of one instance."""
+        """Merge one instance of an answer."""
         member = self.members.get(instance.name)
         try:
             cell, stated_start_s = placement(instance, self.settings)
         except ValueError as error:
-            self._note("error", "an instance cannot be used", leaf=instance.name, error=str(error))
+            self._note(
+                "error",
+                "instance metadata is invalid; the instance is not used",
+                leaf=instance.name,
+                error=str(error),
+            )
             self._drain_unplaced(now_us, member, instance)
             return
         if member is None:
             if len(self.members) >= self.settings.max_instances:
                 self._note(
                     "error",
-                    "more instances than are followed; this one is left out",
+                    "the maximum number of instances is reached; this one is ignored",
                     leaf=instance.name,
                 )
                 return
@@ -293,14 +300,14 @@
         self._update(now_us, member, instance)
 
     def _drain_unplaced(self, now_us, member, instance):
-        """Drain a known member whose entry cannot be used: that much can be read of it."""
+        """Drain a known member whose entry is invalid but still marks it as draining."""
         if member is None or member.admin_state != UP or not is_draining(instance, self.settings):
             return
         member.admin_state = DRAINING
         member.damping.on_down(now_us)
 
     def _update(self, now_us, member, instance):
-        """Take over an instance's address, states and weight."""
+        """Copy an instance's address, states and weight to its member."""
         was_serving = member.is_serving
         drains = is_draining(instance, self.settings)
         health = worst_health(instance)
--- a/mothnotch/decisions/leaf_membership/settings.py
+++ b/mothnotch/decisions/leaf_membership/settings.py
@@ -5,32 +5,32 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipSettings:
-    """How instances are read and how far answers are believed; ratios are shares of the list."""
+    """How to interpret instances and when to trust answers; ratios are shares of the list."""
 
     cells: int
-    # Neighbouring cells that hold one range.
+    # The number of adjacent cells that hold one range.
     reach: int
     drain_tags: frozenset[str] = frozenset(("draining",))
-    # (key, value) pairs of the service's meta.
+    # (key, value) pairs of the service's metadata that mark a drain.
     drain_meta: tuple[tuple[str, str], ...] = (("state", "draining"),)
-    # Weight 0 drains.
+    # Whether weight 0 means draining.
     drain_weight: bool = True
-    # Maintenance of the node or the service drains.
+    # Whether maintenance mode of the node or the service means draining.
     drain_maintenance: bool = True
-    # Critical checks take leaves off, up to the ratio below.
+    # Whether critical checks take leaves out of service, up to the ratio below.
     health: bool = True
     max_critical_ratio: float = 0.5
-    # An answer that lacks more than this share is doubted.
+    # An answer from which more than this share of the leaves is missing is in doubt.
     max_shrink_ratio: float = 0.3
-    # What a doubted answer lacks is held so long after it was last heard of ...
+    # A leaf missing from a doubtful answer is removed this long after it was last heard from ...
     hold_missing_us: int = 1_800_000_000
-    # ... or until the root's own connections failed for so long.
+    # ... or once the root's own connections to it have failed for this long.
     local_failure_us: int = 10_000_000
-    # How far clocks of machines may lie apart.
+    # The assumed maximum difference between the clocks of two machines.
     clock_skew_s: float = 2.0
-    # Instances followed; more are left out.
+    # The most instances in the list; further ones are ignored.
     max_instances: int = 10_000
-    # Keys of the service's meta.
+    # Keys of the service's metadata.
     cell_key: str = "cell"
     zone_key: str = "zone"
     started_key: str = "started"
