--- a/mothnotch/decisions/__init__.py
+++ b/mothnotch/decisions/__init__.py
@@ -1,1 +1,4 @@
-"""Every decision of the product: pure modules, the standard library only, no I/O and no clock."""
+"""Decision logic of the server: pure modules that use only the standard library.
+
+They do no I/O and read no clock; callers pass in the time and act on the result.
+"""
--- a/mothnotch/decisions/connection_policy.py
+++ b/mothnotch/decisions/connection_policy.py
@@ -1,7 +1,6 @@
-"""Judge connections to leaves: which still carry answers, what may still be sent, which to close.
+"""Policy for connections to leaves: which are responsive, what may be sent, which to close.
 
-Pure: what connections saw and the clock come in, a judgement comes out. Times are in the unit that
-each name states.
+Pure: callers pass in the connections' observations and the time. Each name states its unit of time.
 """
 
 from collections.abc import Iterable
@@ -11,43 +10,43 @@
 
 ConnectionT = TypeVar("ConnectionT")
 
-# Step of the running median of latencies, as a factor: small, so that one answer moves it little.
+# Factor by which one answer moves the running median of latencies; small, to damp outliers.
 MEDIAN_STEP = 1.03
-# A connection is in doubt once it is silent for so many times the usual latency. Fewer would blame
-# connections for a leaf that is slow for once.
+# A connection is suspect once it has been silent for this multiple of the median latency. A smaller
+# multiple would blame the connection for a single slow answer of its leaf.
 SILENCE_FACTOR = 3
-# A connection that was idle for less is not closed in favour of another: bounds how often one is
-# made and closed again.
+# Minimum idle time before a connection may be closed in favour of another. Bounds the rate at which
+# connections are opened and closed.
 MIN_IDLE_S = 0.05
-# A disconnect may lie unread in sockets that were last polled longer ago than this.
+# A disconnect may be unread in the sockets if they were last polled longer ago than this.
 UNREAD_AFTER_S = 0.02
-# Idle connections are looked at so often at least, so that none is kept much past its idle time.
+# Maximum interval between checks of idle connections, so that none outlives its idle time by much.
 MAX_IDLE_CHECK_S = 0.5
 
 
 class SilenceDetector:
-    """Learn the usual latency of answers, and tell from it when a connection has fallen silent.
+    """Track the median latency of answers and detect silent connections from it.
 
-    Guards against connections that fall silent while the leaf behind them is sound (a forgotten
-    address translation, a peer that vanished, an answer that never ends): everything sent there
-    would time out, and the leaf be blamed. Harm: a leaf that is slow for all gets a new connection
-    for each part that was abandoned there, which costs it a handshake.
+    Guards against connections that stop delivering data while their leaf is healthy (an expired NAT
+    entry, a peer that vanished, an answer that never ends): everything sent on them would time out,
+    and the leaf would be blamed. Cost: a leaf that is slow for every query gets a new connection,
+    and so a handshake, for each part abandoned there.
     """
 
     def __init__(self):
-        """Begin without a usual latency: until the first answer no connection is in doubt."""
+        """Start without a median: no connection is suspect before the first answer."""
         self.usual_us: float | None = None
 
     def record_latency(self, latency_us: float) -> None:
-        """Take in the latency of an answer."""
+        """Update the median with the latency of an answer."""
         if self.usual_us is None:
             self.usual_us = max(1.0, latency_us)
         self.usual_us *= MEDIAN_STEP if latency_us > self.usual_us else 1 / MEDIAN_STEP
 
     def is_silent(self, sent_us: int, heard_us: int, now_us: int) -> bool:
-        """Return whether a connection is in doubt as something sent on it is abandoned.
+        """Return whether a connection is suspect, when an attempt sent on it is abandoned.
 
-        It is if nothing at all was read from it since `sent_us`, for long enough.
+        It is suspect if nothing was read from it since `sent_us` and that was long enough ago.
         """
         if self.usual_us is None or heard_us >= sent_us:
             return False
@@ -55,19 +54,19 @@
 
 
 def max_in_flight(streams: int) -> int:
-    """Return how many parts a connection gets at once, whose leaf works on `streams` of them.
+    """Return the maximum number of parts in flight on a connection with `streams` streams.
 
-    One fewer. A leaf that has as many as it works on reads nothing more until it has answered one,
-    not even the cancellation of one of them: that part would still run while another attempt does,
-    and what is written behind the cancellation would be read whenever that is, past its leaf's
-    drain or its retry window. Where a leaf works on only one part, abandoning it takes a close
-    (`must_close`). Harm: where it works on two, each part in flight needs a connection of its own.
+    It is one less than `streams`. A leaf with all streams busy reads nothing until it has answered
+    a part, not even a cancellation: the cancelled part would run beside the next attempt, and data
+    written after the cancellation could be read past the leaf's drain or the retry window. With one
+    stream, abandoning a part requires closing the connection (`must_close`). Cost: with two
+    streams, each part in flight needs a connection of its own.
     """
     return max(1, streams - 1)
 
 
 def client_may_have_disconnected(unread_s: float) -> bool:
-    """Return whether a disconnect may lie unread, as no socket was polled for so many seconds."""
+    """Return whether a disconnect may be unread, given the seconds since sockets were polled."""
     return unread_s > UNREAD_AFTER_S
 
 
@@ -78,16 +77,16 @@
     remaining_s: float,
     not_now: bool = False,
 ) -> Result | None:
-    """Return how a queued attempt ends that may not be sent any more; None if it may be sent.
+    """Return the result of a queued attempt that must not be sent; None if it may be sent.
 
-    Asked at the last point before an attempt's first byte is sent. `takes_new`: its leaf is not
-    draining, not removed and still at that address. `superseded`: the client disconnected, or
-    another attempt brought the part. `past_retry_window`: it is too late for a retry.
-    `remaining_s`: the time until its deadline. `not_now`: a disconnect of the client may lie
-    unread, or no retry budget is left at this moment.
+    Called just before the attempt's first byte is sent. `takes_new`: its leaf is not draining, not
+    removed and still at that address. `superseded`: the client disconnected, or another attempt
+    answered the part. `past_retry_window`: it is too late for a retry. `remaining_s`: time until
+    the attempt's deadline. `not_now`: a disconnect of the client may be unread, or the retry budget
+    is exhausted at present.
 
-    Guards against work for nobody, effects that happen twice and an overdrawn retry budget. Harm:
-    none, as none of it has run.
+    Guards against work whose result nobody reads, duplicate side effects and an exceeded retry
+    budget. A withheld attempt costs nothing, as it never ran.
     """
     if not takes_new or superseded or past_retry_window or not_now:
         return Result.UNSENT
@@ -99,13 +98,13 @@
 def must_close(
     full: bool, cancellation_queued: bool, query_complete: bool, copies_allowed: bool
 ) -> bool:
-    """Return whether abandoning an attempt that was sent takes a close of its connection.
+    """Return whether abandoning a sent attempt requires closing its connection.
 
-    It does if the leaf reads no cancellation, as it works on as many parts as it can (`full`). It
-    does, too, if the cancellation cannot be sent at once: another attempt, which only a query that
-    is not complete makes, would overtake it and run beside the first. Harm: the other parts on that
-    connection may have run then; so none is closed where copies are allowed, nor for a query that
-    is complete. Within `max_in_flight` a full connection carries no other parts.
+    It does if the leaf cannot read a cancellation because all its streams are busy (`full`). It
+    also does if the cancellation cannot be sent at once: another attempt, which only an incomplete
+    query makes, would overtake it and run beside the first. Cost: the other parts on that
+    connection may have run by then. Therefore it stays open if copies are allowed or the query is
+    complete. Within `max_in_flight` a full connection carries no other parts.
     """
     if full:
         return True
@@ -115,22 +114,21 @@
 def idle_connection_to_close(
     idle: Iterable[tuple[float, ConnectionT]], now_s: float
 ) -> ConnectionT | None:
-    """Return which idle connection is closed for a new one at the limit; None if none may be.
+    """Return the idle connection to close for a new one at the limit; None if none may be closed.
 
-    `idle`: pairs of (idle since, connection), in seconds. The longest idle one is closed, if it was
-    idle for `MIN_IDLE_S`. Guards against a root that keeps connections it does not use and rejects
-    work for want of one. Harm: a handshake for each part where leaves are many more than
-    connections.
+    `idle`: pairs of (idle since, connection), in seconds. The longest idle one is chosen if it has
+    been idle for `MIN_IDLE_S`. Guards against rejecting work for lack of a connection while unused
+    ones are open. Cost: a handshake for each part if leaves greatly outnumber connections.
     """
     since_s, connection = min(idle, key=lambda pair: pair[0], default=(now_s, None))
     return connection if now_s - since_s >= MIN_IDLE_S else None
 
 
 def idle_expired(idle_for_s: float, max_idle_s: float) -> bool:
-    """Return whether an idle connection is past its time: its leaf may be closing it just now."""
+    """Return whether an idle connection is too old to use: its leaf may be closing it already."""
     return idle_for_s >= max_idle_s
 
 
 def idle_check_interval_s(max_idle_s: float) -> float:
-    """Return how often idle connections are looked at, in seconds."""
+    """Return the interval between checks of idle connections, in seconds."""
     return min(MAX_IDLE_CHECK_S, max_idle_s / 4)
--- a/mothnotch/decisions/coverage.py
+++ b/mothnotch/decisions/coverage.py
@@ -1,7 +1,7 @@
-"""Decide what an answer covers: how much of what was asked for, what is missing, how old it is.
+"""Coverage of an answer: which ranges it includes, which are missing and how old its data is.
 
-Pure. An answer is complete only if every piece is in; its share is rounded down, so that nothing
-short of all is ever shown as all, nor anything short of 80% as 80%.
+Pure. An answer is complete only if every range is answered. Its share is rounded down, so that an
+incomplete answer is never shown as 100%, nor one below 80% as 80%.
 """
 
 import math
@@ -13,7 +13,7 @@
 
 IN_FLIGHT_REASON = "still out when the answer was given"
 NOT_SENT_REASON = "not sent to any leaf"
-# Why a part is missing, by the result of its last attempt; None: it had none.
+# Why a part is missing, by the result of its last attempt; None: it had no attempt.
 MISSING_REASONS = {
     None: NOT_SENT_REASON,
     Result.TIMEOUT: "no answer in time",
@@ -29,34 +29,34 @@
 
 @dataclass(slots=True, frozen=True)
 class Piece:
-    """One part of what was asked for."""
+    """Coverage of the range of shard column values that one part asks for."""
 
     low: int
-    # Last value of its range.
+    # Inclusive.
     high: int
     weight: float
     answered: bool
-    # Why it is missing; empty if it isn't.
+    # Why it is missing; empty if it is answered.
     why: str = ""
     leaf: str | None = None
-    # From its answer to the query's; None while there is none.
+    # Time from its answer to the query's answer; None if it has none.
     read_us: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class Coverage:
-    """What one answer covers, piece by piece."""
+    """What one answer covers, by range."""
 
     pieces: tuple[Piece, ...]
 
     @property
     def complete(self) -> bool:
-        """Whether every piece is in."""
+        """Whether every range is answered."""
         return all(piece.answered for piece in self.pieces)
 
     @property
     def share(self) -> float:
-        """The share of the weight that is in: 1.0 only if all of it is."""
+        """The answered share of the weight: 1.0 only if every range is answered."""
         if self.complete:
             return 1.0
         asked = math.fsum(piece.weight for piece in self.pieces)
@@ -65,28 +65,28 @@
 
     @property
     def percent(self) -> int:
-        """Hundredths, rounded down from the exact value of the share."""
+        """The share in percent, rounded down from its exact value."""
         return math.floor(Fraction(self.share) * 100)
 
     @property
     def missing(self) -> list[Piece]:
-        """The pieces that are not in."""
+        """The ranges that are not answered."""
         return [piece for piece in self.pieces if not piece.answered]
 
     @property
     def oldest_us(self) -> int:
-        """How long before the query's answer the oldest piece was read; 0 if none was."""
+        """Time from the oldest range's answer to the query's answer; 0 if no range is answered."""
         ages_us = [piece.read_us for piece in self.pieces if piece.read_us is not None]
         return max(ages_us, default=0)
 
 
 def format_range(piece: Piece) -> str:
-    """Return the range of a piece as clients see it."""
+    """Return a range in the form that clients see."""
     return f"{piece.low}..{piece.high}"
 
 
 def format_reasons(missing: Iterable[Piece]) -> str:
-    """Return why pieces are missing: each reason with its ranges."""
+    """Return the reasons for missing ranges, each with the ranges it applies to."""
     ranges_by_reason = {}
     for piece in missing:
         ranges_by_reason.setdefault(piece.why, []).append(format_range(piece))
--- a/mothnotch/decisions/endpoint_list.py
+++ b/mothnotch/decisions/endpoint_list.py
@@ -1,7 +1,7 @@
-"""Turn an endpoint list as stated into the watch events that the balancer gets.
+"""Convert endpoint lists into the balancer's watch events.
 
-Pure: the entries as stated (by a file or a catalogue), the time and the list before come in;
-watch events or errors come out.
+Pure: callers pass in the entries (read from a file or a catalogue), the time and the previous list;
+the functions return watch events or errors.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,16 +11,16 @@
 from mothnotch.decisions.start_times import StartTimes
 
 STATES = ("up", "draining", "removed")
-# Starts of one leaf that are remembered as departed. A leaf is rarely started more often than that
-# while the agents' lists differ.
+# Start times kept for each departed leaf. A leaf rarely restarts more often than this while the
+# agents' lists differ.
 MAX_STARTS = 4
-# Leaves that are remembered as departed; past it the oldest is forgotten.
+# Maximum number of departed leaves kept; beyond it the oldest is dropped.
 MAX_DEPARTED = 4096
 
 
 @dataclass(slots=True, frozen=True)
 class Leaf:
-    """One leaf as the list states it."""
+    """A leaf's entry in an endpoint list."""
 
     name: str
     address: str
@@ -28,12 +28,12 @@
     cell: int
     state: str = "up"
     weight: float = 1.0
-    # Seconds of wall-clock time; None: long ago.
+    # Start time in seconds of wall-clock time; None: long ago.
     started: float | None = None
 
 
 def find_errors(leaves: Iterable[Leaf], cells: int) -> list[str]:
-    """Return the errors of a list, each naming the leaf and the remedy; empty if it is valid."""
+    """Return an error message for each invalid entry of a list; empty if the list is valid."""
     errors = []
     seen = set()
     for leaf in leaves:
@@ -55,10 +55,10 @@
 
 
 def removes_whole_fleet(before: Iterable[Leaf], after: Iterable[Leaf]) -> bool:
-    """Return whether a snapshot must not be applied, as it names nobody where some were up before.
+    """Return whether applying a snapshot would remove every leaf although some are up.
 
-    Guards against a file that was read half written and a source that lost its state: neither may
-    take the whole fleet away.
+    Such a snapshot must not be applied: the file may have been read while it was being written, or
+    its source may have lost its state.
     """
     had_leaves = any(leaf.state == "up" for leaf in before)
     has_leaves = any(leaf.state != "removed" for leaf in after)
@@ -72,7 +72,7 @@
     starts: StartTimes,
     kind: WatchEventKind = WatchEventKind.SNAPSHOT,
 ) -> WatchEvent:
-    """Return the list as the balancer gets it, its start times on the caller's own clock."""
+    """Return a list as a watch event, with start times converted to the caller's clock."""
     entries = tuple(
         Endpoint(
             leaf.name,
@@ -84,7 +84,7 @@
         )
         for leaf in leaves
     )
-    # What was cached before the process began is no message of discovery's.
+    # A list cached before the process started is not a message from discovery.
     if kind is not WatchEventKind.CACHED:
         starts.record_message(now_us)
     return WatchEvent(kind, version, entries)
@@ -92,50 +92,50 @@
 
 @dataclass(slots=True, frozen=True)
 class Departure:
-    """That a leaf drains or was removed, by the newest version that said so."""
+    """The newest version that lists a leaf as draining or removed."""
 
     version: int
-    # The stated starts that versions named as departed, the newest last.
+    # Start times of the departed instances of the leaf, the newest last.
     starts: tuple[float | None, ...]
 
 
 class EndpointTracker:
-    """Track what the agents' lists said so far, by version.
+    """Merge the versioned endpoint lists of several agents.
 
-    Tells which lists are new, and keeps an older one from bringing a departed leaf back. Versions
-    of one agent only rise. Another agent's, or the same one's after it lost its state, may be
-    lower: its snapshot counts then, but a leaf that drains or was removed stays so until a list at
-    least as new names it again, or it was started again.
+    Detects which lists are new, and prevents an older list from restoring a departed leaf. The
+    versions of one agent only increase. Those of another agent, or of the same agent after it lost
+    its state, may be lower: its snapshot is applied, but a draining or removed leaf keeps that
+    state until a list at least as new contains it again, or the leaf has restarted.
 
-    Harm: where versions begin anew, a leaf that drained and is ready again, without a new start,
-    gets nothing until they have caught up. Bound: `max_departed` leaves that drain or were removed.
+    Cost: if versions start over, a leaf that drained and became ready again without a restart gets
+    no queries until the versions have caught up. Bound: `max_departed` draining or removed leaves.
     """
 
     def __init__(self, max_departed: int = MAX_DEPARTED):
-        """Begin without any list."""
+        """Start without any list."""
         self.max_departed = max_departed
-        # The version of the list that was applied last.
+        # Version of the most recently applied list.
         self.version = 0
         self.agent_changed = False
         self.departed: dict[str, Departure] = {}
-        # Leaves held as up: name -> stated start.
+        # Leaves that are up: name -> start time.
         self.up: dict[str, float | None] = {}
 
     def on_agent_changed(self) -> None:
-        """Expect a list of any version, as another agent is asked from now on."""
+        """Accept a snapshot of any version next, as a different agent is queried from now on."""
         self.agent_changed = True
 
     def is_stale_delta(self, version: int, whole: bool) -> bool:
-        """Return whether another agent's first message is a delta older than what is held.
+        """Return whether a new agent's first message is a delta older than the current list.
 
-        Only its snapshot tells what it holds.
+        Such a delta does not show what the agent's list contains; only its snapshot does.
         """
         return self.agent_changed and not whole and version < self.version
 
     def apply(self, version: int, whole: bool, leaves: Sequence[Leaf]) -> list[Leaf] | None:
-        """Return the leaves that a list changes, as they count now; None if it says nothing new.
+        """Apply a list and return its leaves with their effective states; None if it is not new.
 
-        `whole`: it is a snapshot, not a delta.
+        `whole`: the list is a snapshot, not a delta.
         """
         if not whole and version <= self.version:
             self.agent_changed = False
@@ -150,7 +150,7 @@
         return changed
 
     def _apply_leaf(self, version, leaf):
-        """Return the leaf as it counts: draining, if an older list says up that is not believed."""
+        """Return a leaf with its effective state: draining if an outdated list has it as up."""
         departure = self.departed.get(leaf.name)
         if leaf.state != "up":
             self._record_departure(leaf.name, version, leaf.started)
@@ -166,14 +166,14 @@
         return leaf
 
     def _remove_unlisted(self, version, listed):
-        """Count what a snapshot does not name as removed, as if it had said so."""
+        """Record every leaf that is missing from a snapshot as removed."""
         for name in [name for name in self.up if name not in listed]:
             self._record_departure(name, version, self.up.pop(name))
 
     def _record_departure(self, name, version, started):
-        """Note that a leaf with that start drains or was removed by that version.
+        """Record that a version lists the leaf with that start time as draining or removed.
 
-        Of several such versions the newest counts, for each start that they named.
+        Keeps the newest such version, and the start times from all of them.
         """
         known = self.departed.pop(name, Departure(version, ()))
         others = tuple(other for other in known.starts if other != started)
--- a/mothnotch/decisions/invariants.py
+++ b/mothnotch/decisions/invariants.py
@@ -1,9 +1,9 @@
-"""Checks at run time of what must hold at every moment, and counts where it did not.
+"""Run-time checks of the root's invariants, and counts of their violations.
 
-Pure. The guards that keep these rules stand elsewhere (`connection_policy.withheld_result` before
-bytes leave, the frontend before it closes); the checks here are made after the fact and know
-nothing of the guards, so that a path past a guard shows. A violation is a defect of the root's: it
-is counted, logged with the ids it concerns, and costs nobody anything by itself.
+Pure. Other modules enforce these rules (`connection_policy.withheld_result` before bytes are sent,
+the frontend before it closes a connection). The checks here run after the fact and independently of
+that code, so that a code path that bypasses it is detected. A violation is a defect of the root: it
+is counted and logged with the ids it concerns, and has no other effect.
 """
 
 import math
@@ -13,81 +13,80 @@
 
 from mothnotch.decisions.interface import Endpoint, Rules
 
-# A leaf may be given so much more time than its client has left; with more it would work on parts
-# that nobody waits for.
+# Maximum time by which a leaf's deadline may exceed its client's. With more the leaf would work on
+# parts whose client has stopped waiting.
 TOLD_SLACK_S = 0.15
 
-# A final answer that comes so long after its client's deadline, or later, is lost: the client has
-# stopped waiting.
+# A final answer this long or longer after its client's deadline is lost: the client has stopped
+# waiting.
 FINAL_SLACK_S = 0.5
 
-# Leaves in slow start that are watched at once: a bound on memory where names are ever new.
+# Maximum number of slow-starting leaves tracked. Bounds memory if leaf names keep changing.
 WATCHED_LEAVES = 4096
 
-# The work of parts varies, and a sum of few strays more: a slow start's budget of fewer parts than
-# this has three times its root as slack, a larger one twice.
+# The work of parts varies, and the sum of a few deviates more: a slow-start budget below this many
+# parts gets three times its square root as slack, a larger one twice.
 SMALL_BUDGET_PARTS = 30
 SMALL_BUDGET_ROOTS = 3
 LARGE_BUDGET_ROOTS = 2
 
 
 class Invariant(Enum):
-    """The rules that are checked; their names and meanings are logged."""
+    """The invariants that are checked; the log shows each one's name and value."""
 
-    SENT_AFTER_END = "a part was sent whose query had its final answer, or whose answer was in"
-    TOLD_TOO_LONG = "a leaf was told more time than its client has left"
+    SENT_AFTER_END = "a part was sent after it had been answered or its query had ended"
+    TOLD_TOO_LONG = "a leaf was given a deadline later than its client's"
     SECOND_COPY = (
-        "a part was sent while its leaf had not been able to read that an earlier attempt"
-        " is given up"
+        "a part was sent before its leaf could read the cancellation of an earlier attempt"
     )
-    SENT_PAST_WINDOW = "a keyed part was sent again after its window"
+    SENT_PAST_WINDOW = "a part with an idempotency key was retried after its retry window"
     SLOW_START_EXCEEDED = (
-        "a leaf in slow start got more from this root alone than its budget for the whole fleet"
+        "this root alone exceeded the slow-start budget that all roots share for a leaf"
     )
     ANSWERED_TWICE = "a query got a second final answer"
-    FINAL_LATE = "a final answer came after its client's time"
+    FINAL_LATE = "a final answer was sent after its client's deadline"
     CLOSED_UNANSWERED = (
-        "a client's connection was closed with a request on it that was read and not answered"
+        "a client's connection was closed while a request read from it was unanswered"
     )
-    BEGUN_FOR_NOBODY = "a request was begun whose client had left"
+    BEGUN_FOR_NOBODY = "a request was started after its client had disconnected"
 
 
 class Violations:
-    """Counts violations, and reports each of them."""
+    """Count violations and report each one."""
 
     def __init__(self, report: Callable = lambda text, **fields: None):
-        """Make it with no violation; each one is passed to `report(text, **fields)`."""
+        """Start without violations; each one is passed to `report(text, **fields)`."""
         self.report = report
         self.counts = {}  # name of the invariant -> violations
 
     def note(self, invariant: Invariant, **fields) -> None:
-        """Count and report a violation; the fields name what it concerns."""
+        """Count and report a violation; `fields` identify the objects it concerns."""
         self.counts[invariant.name] = self.counts.get(invariant.name, 0) + 1
         self.report("invariant violated", rule=invariant.name, meaning=invariant.value, **fields)
 
     def check(self, holds: bool, invariant: Invariant, **fields) -> None:
-        """Note a violation unless the rule holds."""
+        """Record a violation unless the invariant holds."""
         if not holds:
             self.note(invariant, **fields)
 
     @property
     def total(self) -> int:
-        """The violations so far, of all rules."""
+        """Number of violations of all invariants so far."""
         return sum(self.counts.values())
 
 
 class SlowStart:
-    """Counts what this root sends to leaves that have just started, against the fleet's budget."""
+    """Check what this root sends to recently started leaves against the budget of all roots."""
 
     def __init__(self, rules: Rules, mean_work_us: Callable[[], float]):
-        """Make it with no leaf; `mean_work_us()` is the mean work of a part at present."""
+        """Start without leaves; `mean_work_us()` returns the current mean work of a part."""
         self.rules = rules
         self.mean_work_us = mean_work_us
-        self.started_us = {}  # leaf -> its start, while it is in slow start
-        self.sent_us = {}  # leaf -> times of what was sent within the collapse time
+        self.started_us = {}  # leaf -> its start time, while in slow start
+        self.sent_us = {}  # leaf -> send times within the collapse time
 
     def listed(self, endpoints: Iterable[Endpoint]) -> None:
-        """Take in when the endpoint list says that leaves started; 0: long ago."""
+        """Update the start times from an endpoint list; 0: long ago."""
         for endpoint in endpoints:
             if endpoint.started_us and endpoint.state == "up":
                 self.started_us[endpoint.server] = endpoint.started_us
@@ -97,7 +96,7 @@
                 self._forget(endpoint.server)
 
     def record_send(self, leaf: str, now_us: int) -> bool:
-        """Count a part that was sent; return whether the leaf's budget held."""
+        """Count a sent part; return whether the leaf is within its budget."""
         started_us = self.started_us.get(leaf)
         if started_us is None:
             return True
@@ -116,7 +115,7 @@
         self.sent_us.pop(leaf, None)
 
     def _budget_parts(self, age_us):
-        """Parts of mean work that a leaf of that age takes within the collapse time, with slack."""
+        """Return the parts of mean work within the collapse time for a leaf's age, plus slack."""
         parts = (
             self.rules.collapse_multiple
             * self.rules.guaranteed_capacity(age_us)
--- a/mothnotch/decisions/memory_budget.py
+++ b/mothnotch/decisions/memory_budget.py
@@ -1,66 +1,62 @@
 """Decide how much memory and disk each query may hold, which one spills and which is rejected.
 
-Pure. Nobody ever waits for memory while holding some: what is over its cap goes to disk, and what
-finds the disk exhausted is rejected. So there is nothing that could deadlock. A cap is a multiple
-of what is free (dynamic thresholds, A. K. Choudhury and E. L. Hahne, "Dynamic queue length
-thresholds for shared-memory packet switches", IEEE/ACM Transactions on Networking 6(2), 1998): one
-query alone may hold half of the limit, the next ones less and less, and who holds more than its
-present cap spills with the next row. In a switch queues drain by themselves; here a holder may sit
-on its share, so a reserve is set aside for those that hold little. Amounts are in bytes.
+Pure. No query waits for memory while holding some, so none can deadlock: a query over its memory
+cap spills to disk, and one over its disk cap is rejected. A cap is a multiple of the free amount
+(dynamic thresholds, A. K. Choudhury and E. L. Hahne, "Dynamic queue length thresholds for
+shared-memory packet switches", IEEE/ACM Transactions on Networking 6(2), 1998): one query alone may
+hold half of the limit, each further one less, and a query above its current cap spills with its
+next row. Unlike the queues of a switch, a query may hold its share for a long time; therefore a
+reserve is set aside for small holders. Amounts are in bytes.
 """
 
 from collections.abc import Hashable
 from enum import Enum
 
-# A holder's cap, as a multiple of what is free, at the usual priority weight.
+# A holder's cap as a multiple of the free amount, at the reference priority weight.
 ALPHA = 1.0
-# The priority weight moves a cap by this factor at most, either way.
+# Maximum factor by which the priority weight raises or lowers a cap.
 MAX_WEIGHT_FACTOR = 4.0
-# Part of the limit that is set aside for small holders: without it, one that comes late would find
-# nothing free.
+# Fraction of the limit reserved for small holders; without it, a late one would find nothing free.
 RESERVE_FRACTION = 1 / 16
-# Holders of no more than this part of the limit are small.
+# A holder of at most this fraction of the limit is small.
 SMALL_FRACTION = 1 / 256
-# Below this part of the memory or the disk free, no new query is admitted.
+# No new query is admitted if less than this fraction of memory or disk is free.
 MIN_FREE_FRACTION = 1 / 64
-# Advice to a query that is not admitted.
+# Delay after which the client of a query that is not admitted should retry.
 RETRY_AFTER_US = 500_000
 
 
 class Reservation(Enum):
-    """How a wish to hold more ends."""
+    """Result of a request to reserve bytes."""
 
     # The bytes are reserved.
     GRANTED = "hold"
-    # Memory is over its cap: what the query holds goes to disk.
+    # The query is over its memory cap and must spill to disk.
     SPILL = "spill"
-    # Disk is over its cap: the query cannot be served.
+    # The query is over its disk cap and cannot be served.
     REJECTED = "refuse"
 
 
 class Pool:
-    """Account for one resource of `limit` bytes, held by name.
-
-    Bound: `limit` in all.
-    """
+    """Account for the holders of one resource of `limit` bytes."""
 
     def __init__(self, limit: int):
-        """Begin with all of `limit` free."""
+        """Start with all of `limit` free."""
         self.limit = limit
         self.used = 0
         self.held: dict[Hashable, int] = {}
 
     @property
     def free(self) -> int:
-        """Bytes that nobody holds."""
+        """Bytes that are not reserved."""
         return self.limit - self.used
 
     def cap(self, factor: float) -> float:
-        """Return how much a holder of that weight factor may hold at present."""
+        """Return the current cap of a holder with that weight factor."""
         return ALPHA * factor * max(0.0, self.free - RESERVE_FRACTION * self.limit)
 
     def fits(self, name: Hashable, count: int, factor: float) -> bool:
-        """Return whether `name` may hold so many bytes more."""
+        """Return whether `name` may reserve `count` more bytes."""
         if count > self.free:
             return False
         total = self.held.get(name, 0) + count
@@ -70,16 +66,16 @@
         return leaves_reserve and total <= self.cap(factor)
 
     def reserve(self, name: Hashable, count: int) -> None:
-        """Count so many bytes more as held by `name`."""
+        """Add `count` bytes to those held by `name`."""
         self.held[name] = self.held.get(name, 0) + count
         self.used += count
 
     def release(self, name: Hashable, count: int) -> None:
-        """Count so many bytes less; raise ValueError if `name` holds fewer."""
+        """Release `count` bytes of `name`; raise ValueError if it holds fewer."""
         held = self.held.get(name, 0)
         left = held - count
         if left < 0:
-            raise ValueError(f"{name!r} gives back {count} bytes and holds {held}")
+            raise ValueError(f"{name!r} releases {count} bytes but holds only {held}")
         self.used -= count
         if left:
             self.held[name] = left
@@ -88,52 +84,52 @@
 
 
 class MemoryBudget:
-    """Bytes of memory and of disk for all queries of a root, between `open` and `close` of each."""
+    """Memory and disk budgets shared by the open queries of a root."""
 
     def __init__(self, memory: int, disk: int, usual_weight: float = 1.0):
-        """Begin with both free; `usual_weight`: the priority weight whose factor is 1."""
+        """Start with both free; `usual_weight`: the priority weight whose factor is 1."""
         self.memory = Pool(memory)
         self.disk = Pool(disk)
         self.usual_weight = usual_weight
-        # By query: what its priority weight makes of its caps.
+        # By query: the factor of its caps, from its priority weight.
         self.factors: dict[Hashable, float] = {}
 
     def may_admit(self, weight: float) -> bool:
-        """Return whether there is room for one more query at all.
+        """Return whether there is room for another query.
 
-        The limit acts before failure does, on the least priority weight first.
+        Rejects new queries before running ones would fail, lowest priority weight first.
         """
         factor = self.usual_weight / weight if weight > 0 else MAX_WEIGHT_FACTOR
         min_free = MIN_FREE_FRACTION * max(1.0, min(MAX_WEIGHT_FACTOR, factor))
         return all(pool.free >= min_free * pool.limit for pool in (self.memory, self.disk))
 
     def open(self, name: Hashable, weight: float) -> None:
-        """Begin a query; `weight`: its priority weight for its work, as the balancer has it."""
+        """Add a query; `weight`: the balancer's priority weight for it, relative to its work."""
         factor = weight / self.usual_weight if self.usual_weight > 0 else 1.0
         self.factors[name] = min(MAX_WEIGHT_FACTOR, max(1 / MAX_WEIGHT_FACTOR, factor))
 
     def close(self, name: Hashable) -> None:
-        """End a query: all that it holds is released."""
+        """Remove a query and release all that it holds."""
         for pool in (self.memory, self.disk):
             pool.release(name, pool.held.get(name, 0))
         self.factors.pop(name, None)
 
     def reserve_memory(self, name: Hashable, count: int) -> Reservation:
-        """Reserve so many bytes more in memory: GRANTED, or SPILL if they are over the cap."""
+        """Reserve `count` more bytes of memory: GRANTED, or SPILL if over the cap."""
         if not self.memory.fits(name, count, self.factors[name]):
             return Reservation.SPILL
         self.memory.reserve(name, count)
         return Reservation.GRANTED
 
     def release_memory(self, name: Hashable, count: int) -> None:
-        """Release so many bytes of memory; raise ValueError if the query holds fewer."""
+        """Release `count` bytes of memory; raise ValueError if the query holds fewer."""
         self.memory.release(name, count)
 
     def reserve_disk(self, name: Hashable, count: int) -> Reservation:
-        """Reserve so many bytes more on disk: GRANTED, or REJECTED if they are over the cap.
+        """Reserve `count` more bytes on disk: GRANTED, or REJECTED if over the cap.
 
-        The cap on the disk is a query's own: it is the one that is rejected for passing it, and the
-        one of the highest priority weight may hold the most.
+        The cap is per query: the query that exceeds it is the one rejected, and a higher priority
+        weight allows a larger share.
         """
         if not self.disk.fits(name, count, self.factors[name]):
             return Reservation.REJECTED
@@ -141,5 +137,5 @@
         return Reservation.GRANTED
 
     def release_disk(self, name: Hashable, count: int) -> None:
-        """Release so many bytes of disk; raise ValueError if the query holds fewer."""
+        """Release `count` bytes of disk; raise ValueError if the query holds fewer."""
         self.disk.release(name, count)
--- a/mothnotch/decisions/outcomes.py
+++ b/mothnotch/decisions/outcomes.py
@@ -1,7 +1,8 @@
-"""Decide what a leaf's error means, and what clients get for an answer that is not rows.
+"""Classify leaf errors and build the errors that clients get.
 
-Pure. A leaf's SQLSTATE says whether the statement never ran (REJECTED), the server failed (ERROR),
-or the query itself is at fault: then it is the query's own answer and no mark against the server.
+Pure. A leaf's SQLSTATE tells whether the statement never ran (REJECTED), the server failed (ERROR),
+or the query is at fault. In the last case the error is the query's answer and does not count
+against the server.
 """
 
 from dataclasses import dataclass
@@ -9,36 +10,36 @@
 
 from mothnotch.decisions.interface import NEVER_RAN, Result
 
-# Rejected before it ran, by PostgreSQL's own table of codes: insufficient resources (53, but for a
-# full disk, 53100, which a running statement may meet), not accepting connections (57P03), a
-# read-only copy (25006).
+# Codes with which PostgreSQL rejects a statement before it runs: insufficient resources (53, except
+# for a full disk, 53100, which a running statement may meet), not accepting connections (57P03),
+# and a read-only replica (25006).
 REJECTED_SQLSTATES = ("53000", "53300", "53400", "57P03", "25006")
-# A leaf says that it does not hold the range: the statement never ran.
+# The leaf does not hold the range; the statement never ran.
 NOT_HELD_SQLSTATE = "MN001"
-# The server's trouble, not the query's: connection, operator, system, internal; a failed or full
-# disk; a lock.
+# Classes of errors that the server causes, not the query: connection, operator intervention, system
+# and internal errors, a failed or full disk, and lock conflicts.
 SERVER_SQLSTATE_CLASSES = ("08", "57", "58", "XX", "53", "40", "55", "F0")
 
 
 class Fault(Enum):
-    """Whose fault an error is."""
+    """Whether the query or the server caused an error."""
 
     # The error is the answer of the query.
     QUERY = "query"
-    # It ends one attempt; another holder may do better.
+    # The error ends one attempt; another holder may succeed.
     SERVER = "server"
 
 
 @dataclass(slots=True, frozen=True)
 class LeafError:
-    """Whose fault a leaf's error is, and the result that the balancer gets."""
+    """The cause of a leaf's error, and the attempt's result for the balancer."""
 
     fault: Fault
     result: Result
 
 
 def classify_error(sqlstate: str) -> LeafError:
-    """Return what an error means that a leaf answered with."""
+    """Classify an error that a leaf answered with."""
     if sqlstate in REJECTED_SQLSTATES or sqlstate == NOT_HELD_SQLSTATE:
         return LeafError(Fault.SERVER, Result.REJECTED)
     if sqlstate[:2] in SERVER_SQLSTATE_CLASSES:
@@ -47,15 +48,15 @@
 
 
 def result_before_commit(result: Result) -> Result:
-    """Return how an attempt ends whose COMMIT was never sent: it is proven not to have run.
+    """Return the result of an attempt whose COMMIT was never sent, so that it cannot have run.
 
-    What may have run otherwise counts as one that found no connection; the rest never ran anyway.
+    Results that would mean it may have run become UNREACHABLE; the others are kept.
     """
     return result if result in NEVER_RAN else Result.UNREACHABLE
 
 
 class FinalStatus(Enum):
-    """How a query ended, as the client gets it."""
+    """How a query ended for its client."""
 
     ANSWERED = "answered"
     REJECTED = "refused"
@@ -64,7 +65,7 @@
 
 @dataclass(slots=True, frozen=True)
 class ClientError:
-    """An error or warning as a client gets it, or the template of one."""
+    """An error or warning sent to a client, or a template for one."""
 
     sqlstate: str
     text: str
@@ -72,7 +73,7 @@
     detail: str = ""
 
 
-# The final answers that are not rows. The one table of them; docs/operators.md shows it.
+# All final answers other than rows; documented in docs/operators.md.
 REJECTED = ClientError(
     "53000",
     "the query was refused; nothing of it has run that asking again would repeat",
@@ -112,7 +113,7 @@
 
 
 def rejection(retry_after_us: int) -> ClientError:
-    """Return the error of a rejected query; its advice is in whole milliseconds, rounded up."""
+    """Return the error for a rejected query; the delay is rounded up to whole milliseconds."""
     retry_after_ms = -(-retry_after_us // 1000)
     hint = REJECTED.hint.format(ms=retry_after_ms) if retry_after_ms else ""
     return ClientError(
@@ -121,10 +122,9 @@
 
 
 def failure(writes: bool, commits: bool, may_have_run: bool = True) -> ClientError:
-    """Return the error of a failed query.
+    """Return the error for a failed query.
 
-    The fate of a write is not known only if it may have run: where no COMMIT was sent, it is proven
-    not to have.
+    The outcome of a write is unknown only if it may have run; without a COMMIT it cannot have.
     """
     if not writes or not may_have_run:
         return FAILED_READ
--- a/mothnotch/decisions/poll_policy.py
+++ b/mothnotch/decisions/poll_policy.py
@@ -1,68 +1,68 @@
-"""Decide how Consul's agents are polled: which one, with which index, how long, and when again.
+"""Schedule the polling of Consul agents: which agent, which index, how long and when.
 
-Pure: outcomes and the clock come in, the next poll comes out. The rules for blocking queries are
-those of Consul's API documentation: an index of 0 or one that goes backwards starts again, and
-waits are spread. All times are in seconds.
+Pure: callers pass in results and the time, and get the next poll. Follows the rules for blocking
+queries in Consul's API documentation: restart at index 0 if the index is 0 or decreases, and add
+jitter to waits. All times are in seconds.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 
-# Part of the wait that is drawn for each poll, so that roots don't poll in step.
+# Fraction of the wait that is random for each poll, so that roots do not poll in step.
 WAIT_SPREAD = 0.25
-# Consul adds up to this part of the wait on its own account.
+# Consul itself extends the wait by up to 1/16, as jitter.
 CONSUL_WAIT_FACTOR = 17 / 16
-# An agent that takes so much longer than the longest wait counts as failed ...
+# An agent has failed if its answer takes this much longer than the longest wait.
 ANSWER_SLACK_S = 2.0
-# ... doubled with every round of failures, so often at most: where all agents are slow, a longer
-# timeout is the only way to a list.
+# Maximum number of times the slack is doubled, once after each round in which every agent failed.
+# If all agents are slow, only a longer timeout yields a list.
 MAX_DOUBLINGS = 2
-# Answers taken at once before the next poll is delayed.
+# Number of answers accepted in a burst before polls are delayed.
 BURST = 20.0
-# Answers a second past that burst: a catalogue that changes all the time isn't polled faster than
-# its changes can be applied.
+# Sustained rate of answers: a catalogue that changes constantly is not polled faster than its
+# changes can be applied.
 ANSWERS_PER_S = 10.0
-# An agent's advice to ask again later is followed for no longer.
+# Upper bound on the retry delay that an agent may request.
 MAX_RETRY_AFTER_S = 30.0
-# An agent that answers at once without anything new is polled again within so long.
+# Maximum random delay after an answer without progress, so that it is not repeated in a busy loop.
 STUCK_S = 0.5
 
 
 @dataclass(slots=True, frozen=True)
 class Poll:
-    """One poll of an agent."""
+    """A poll of one agent."""
 
     agent: int
-    # The index to wait past; 0: answer at once.
+    # The agent answers once its index is past this one; 0: at once.
     index: int
-    # How long the agent may wait for a change.
+    # Maximum time that the agent waits for a change.
     wait_s: float
-    # Without an answer by then the agent has failed.
+    # Time after which the agent has failed if it has not answered.
     timeout_s: float
-    # Pause before the poll.
+    # Delay before the poll.
     delay_s: float
 
 
 class PollPolicy:
-    """Schedule one watch over several agents, one polled at a time.
+    """Schedule the polls of one watch over several agents, one agent at a time.
 
-    When every agent has failed in a row (`all_agents_failed`), the caller reports the failure and
-    awaits the balancer's Subscribe.
+    When all agents have failed in a row (`all_agents_failed`), the caller reports the failure and
+    waits for the balancer's Subscribe.
     """
 
     def __init__(self, agents: int, first: int, wait_s: float, random: Callable[[], float]):
-        """Begin at agent `first`, modulo `agents`; `random()` gives numbers from 0 to 1."""
+        """Start with agent `first`, modulo `agents`; `random()` returns numbers from 0 to 1."""
         self.agents = agents
         self.agent = first % agents
         self.wait_s = wait_s
         self.random = random
         self.index = 0
-        # Failures in a row.
+        # Number of consecutive failures.
         self.failures = 0
-        # A token bucket of answers.
+        # Token bucket that limits the rate of answers.
         self.tokens = BURST
         self.tokens_at_s = 0.0
-        # By agent: polled no earlier, by its own advice.
+        # By agent: the earliest time of its next poll, from the retry delay it requested.
         self.not_before_s = [0.0] * agents
         self.delay_s = 0.0
 
@@ -77,7 +77,7 @@
         return Poll(self.agent, self.index, wait_s, timeout_s, delay_s)
 
     def on_answer(self, now_s: float, index: int) -> None:
-        """Take in that the agent answered with this index."""
+        """Record an answer of the current agent, with its index."""
         self.failures = 0
         went_back = index < self.index
         self.index = 0 if went_back or index < 1 else index
@@ -90,7 +90,7 @@
             self.delay_s = max(self.delay_s, STUCK_S * self.random())
 
     def on_failure(self, now_s: float, retry_after_s: float = 0.0) -> None:
-        """Take in that the agent gave nothing usable: the next one is polled, from the start."""
+        """Record that the current agent failed, and continue with the next one at index 0."""
         self.failures += 1
         retry_after_s = min(MAX_RETRY_AFTER_S, max(0.0, retry_after_s))
         self.not_before_s[self.agent] = now_s + retry_after_s
@@ -99,5 +99,5 @@
 
     @property
     def all_agents_failed(self) -> bool:
-        """Whether every agent has failed in a row, once or several times over."""
+        """Whether every agent has failed since the last answer, in one or more full rounds."""
         return self.failures > 0 and self.failures % self.agents == 0
--- a/mothnotch/decisions/registration_policy.py
+++ b/mothnotch/decisions/registration_policy.py
@@ -1,24 +1,24 @@
-"""Decide how the root keeps its own registration at an agent.
+"""Policy for registering the root at a Consul agent.
 
-Pure: outcomes and the clock come in, the next step comes out. All times are in seconds.
+Pure: callers pass in results and the time, and get the next step. All times are in seconds.
 """
 
 from collections.abc import Callable
 from dataclasses import dataclass
 from enum import Enum
 
-# Heartbeats are sent so many times within the check's time, so that one lost costs nothing.
+# Number of heartbeats per TTL of the check, so that losing one has no effect.
 HEARTBEATS_PER_TTL = 3
-# Part of a heartbeat's pause that is drawn, so that roots don't beat in step.
+# Fraction of the heartbeat interval that is random, so that roots do not send in step.
 HEARTBEAT_SPREAD = 0.2
-# Pause after a failure, doubled with each further one; at most a heartbeat's.
+# Delay after a failure, doubled for each further one up to the heartbeat interval.
 BACKOFF_S = 0.2
-# Bounds the doubling, whose number could grow without end.
+# Maximum number of doublings; keeps the power from growing without bound.
 MAX_DOUBLINGS = 8
 
 
 class StepKind(Enum):
-    """What a step does; the value is its name in the log."""
+    """The action of a step; the value is its name in the log."""
 
     REGISTER = "register"
     HEARTBEAT = "beat"
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True, frozen=True)
 class RegistrationStep:
-    """One step of the root's own registration at an agent, after a delay."""
+    """A step of the registration at one agent, to be taken after a delay."""
 
     kind: StepKind
     agent: int
@@ -35,24 +35,24 @@
 
 
 class RegistrationPolicy:
-    """Keep one registration: made at one agent and kept by heartbeats.
+    """Keep the root registered at one agent, by heartbeats.
 
-    It is made again where an agent lost it, and moved when its agent fails for longer than the
-    check's time. Nothing is left behind on a graceful shutdown.
+    Registers again if the agent lost the registration, and moves to the next agent if this one
+    fails for longer than the check's TTL. A graceful shutdown removes all registrations.
     """
 
     def __init__(self, agents: int, first: int, ttl_s: float, random: Callable[[], float]):
-        """Begin at agent `first`, modulo `agents`; `random()` gives numbers from 0 to 1."""
+        """Start with agent `first`, modulo `agents`; `random()` returns numbers from 0 to 1."""
         self.agents = agents
         self.agent = first % agents
         self.ttl_s = ttl_s
         self.random = random
         self.registered = False
-        # Since when steps have failed; None: the last one succeeded.
+        # Time of the first consecutive failure; None: the last step succeeded.
         self.failing_since_s: float | None = None
-        # Failures in a row.
+        # Number of consecutive failures.
         self.failures = 0
-        # Agents that hold a registration of this root's, or may.
+        # Agents at which this root is, or may be, registered.
         self.holders: set[int] = set()
 
     def next_step(self) -> RegistrationStep:
@@ -61,7 +61,7 @@
         return RegistrationStep(kind, self.agent, self._delay_s())
 
     def _delay_s(self):
-        """Return the pause before the next step: backoff, a heartbeat's, or none."""
+        """Return the delay of the next step: the backoff, the heartbeat interval, or 0."""
         interval_s = self.ttl_s / HEARTBEATS_PER_TTL
         if self.failures:
             backoff_s = BACKOFF_S * 2 ** min(self.failures, MAX_DOUBLINGS)
@@ -71,7 +71,7 @@
         return 0.0
 
     def on_success(self, step: RegistrationStep) -> None:
-        """Take in that a step succeeded."""
+        """Record that a step succeeded."""
         self.failures = 0
         self.failing_since_s = None
         if step.kind is StepKind.DEREGISTER:
@@ -81,9 +81,9 @@
             self.holders.add(step.agent)
 
     def on_failure(self, now_s: float, step: RegistrationStep, lost: bool = False) -> None:
-        """Take in that a step failed; `lost`: the agent does not know this root, or no more."""
+        """Record that a step failed; `lost`: the agent does not know this root."""
         if step.kind is StepKind.REGISTER:
-            # It may have been carried out all the same.
+            # The agent may have carried it out nevertheless.
             self.holders.add(step.agent)
         if lost:
             self.registered = False
@@ -98,5 +98,5 @@
             self.failing_since_s = None
 
     def shutdown_steps(self) -> list[RegistrationStep]:
-        """Return what a graceful shutdown does: deregister wherever a registration may be held."""
+        """Return the steps of a graceful shutdown: deregister at every possible holder."""
         return [RegistrationStep(StepKind.DEREGISTER, agent, 0.0) for agent in sorted(self.holders)]
--- a/mothnotch/decisions/request_classes.py
+++ b/mothnotch/decisions/request_classes.py
@@ -1,4 +1,4 @@
-"""Decide how a statement becomes a request: its class, its deadline, its parts' weights and costs.
+"""Derive a request's class, timeout, part weights and part costs from its statement.
 
 Pure: no I/O and no clock. Times are in microseconds.
 """
@@ -6,34 +6,36 @@
 from collections.abc import Callable, Hashable, Mapping, Sequence
 from dataclasses import dataclass
 
-# Shapes and kinds of statements whose cost is remembered.
+# Maximum number of statement shapes and kinds whose cost is kept.
 MAX_COSTS = 1024
-# A latency below the estimate moves it by this part of the difference: the least is what counts.
+# Fraction of the difference by which a lower latency moves the estimate; large, because the lowest
+# latency is closest to the work itself.
 COST_STEP_DOWN = 0.5
-# One above moves it by this part: waiting is no work, yet an estimate that is too low must recover.
+# The same for a higher latency; small, because queueing is not work, but not 0, so that an estimate
+# that is too low recovers.
 COST_STEP_UP = 0.01
-# A part never weighs nothing: the weights are divided by their sum.
+# Minimum weight of a part, because the weights are divided by their sum.
 MIN_WEIGHT = 1e-9
 
 
 class UnknownClassError(Exception):
-    """No class fits, or the one named is not configured."""
+    """The named class is not configured, or no class accepts the statement."""
 
 
 @dataclass(slots=True, frozen=True)
 class ClassKind:
-    """What decides which statements a class takes."""
+    """Which statements a class accepts."""
 
     takes_writes: bool
     is_default: bool
 
 
 def class_of(classes: Mapping[str, ClassKind], named: str | None, writes: bool) -> str:
-    """Return the class of a statement: the one the session named, if it fits.
+    """Return the class of a statement: the one that the session named, if it fits.
 
-    Else the first stated default of its kind. A write never goes under a class for reads, nor a
-    read under one for writes: the rules on retries differ. Raise UnknownClassError if the one named
-    is not configured, or none fits.
+    Otherwise return the first configured default class for writes or reads. A write never uses a
+    class for reads, nor a read one for writes, because the rules for retries differ. Raise
+    UnknownClassError if the named class is not configured or no class fits.
     """
     if named is not None:
         if named not in classes:
@@ -49,9 +51,9 @@
 
 
 def request_timeout_us(class_timeout_us: int, statement_timeout_us: int) -> int:
-    """Return how long the client waits: the class's time, or a shorter one of the session's.
+    """Return the client's timeout: the class's, or the session's if that is shorter.
 
-    A `statement_timeout_us` of 0 states nothing.
+    A `statement_timeout_us` of 0 means that the session sets none.
     """
     if statement_timeout_us > 0:
         return min(class_timeout_us, statement_timeout_us)
@@ -61,9 +63,9 @@
 def part_weights(
     shards: Sequence[int], rows_of: Callable[[int], float] | None = None
 ) -> list[float]:
-    """Return the part of the request's priority weight that each shard's part carries, 1 in all.
+    """Return the share of the request's priority weight for each shard; the shares sum to 1.
 
-    By rows where they are known, else alike.
+    Shares are proportional to the shards' row counts if these are known, otherwise equal.
     """
     raw = [max(MIN_WEIGHT, rows_of(shard)) if rows_of else 1.0 for shard in shards]
     total = sum(raw)
@@ -71,37 +73,37 @@
 
 
 class CostEstimator:
-    """Estimate the work of a part in microseconds: near the least latency of late.
+    """Estimate the work of a part in microseconds, close to its lowest recent latency.
 
-    Kept by the statement's shape and, for shapes not met yet, by what it does (`kind`). Bound:
-    `size` estimates; the one used longest ago is forgotten.
+    Estimates are kept by statement shape and, for shapes not seen before, by statement kind. Bound:
+    `size` estimates; the least recently used one is evicted.
     """
 
     def __init__(
         self, size: int = MAX_COSTS, down: float = COST_STEP_DOWN, up: float = COST_STEP_UP
     ):
-        """Begin without estimates; `down`, `up`: steps towards a smaller and a larger latency."""
+        """Start without estimates; `down`, `up`: step sizes for lower and higher latencies."""
         self.size = size
         self.down = down
         self.up = up
         self.estimates_us: dict[Hashable, float] = {}
 
     def estimate_us(self, shape: Hashable, kind: Hashable) -> int | None:
-        """Return the estimate of a statement; None before the first latency of either."""
+        """Return the estimate for a shape, else for its kind; None if neither has one."""
         estimate_us = self.estimates_us.get(shape, self.estimates_us.get(kind))
         return None if estimate_us is None else max(1, int(estimate_us))
 
     def record(self, shape: Hashable, kind: Hashable, latency_us: float) -> None:
-        """Take in the latency of a part of such a statement."""
+        """Record the latency of a part of a statement of that shape and kind."""
         for key in (shape, kind):
-            # Taken out and put back: the order of the dictionary is that of use.
+            # Popped and inserted again to keep the dictionary in order of use.
             before_us = self.estimates_us.pop(key, None)
             self.estimates_us[key] = self._moved(before_us, latency_us)
         while len(self.estimates_us) > self.size:
             del self.estimates_us[next(iter(self.estimates_us))]
 
     def _moved(self, estimate_us, latency_us):
-        """Return an estimate, moved towards a latency; the latency itself where there was none."""
+        """Return an estimate moved towards a latency, or the latency if there is none."""
         if estimate_us is None:
             return latency_us
         step = self.down if latency_us < estimate_us else self.up
--- a/mothnotch/decisions/resource_limits.py
+++ b/mothnotch/decisions/resource_limits.py
@@ -1,70 +1,69 @@
-"""Divide a small root's descriptors and time: connections, idle times, timeouts.
+"""Derive a root's connection limits and timeouts from its descriptors and settings.
 
-Pure: worked out from the limits and settings that the root is given. Of the descriptors that the
-program does not need itself, half goes to clients: by the platform's word they take a third at
-most, which leaves room for a wave of new ones beside old ones not yet closed. A quarter goes to
-leaves; the rest is slack.
+Pure. Of the descriptors that the process does not need itself, half are for clients: the platform
+states that they use at most a third, which leaves room for a wave of new connections while old ones
+are not yet closed. A quarter is for leaves; the rest is slack.
 """
 
 from collections.abc import Iterable, Sequence
 from dataclasses import dataclass
 from typing import Protocol, TypeVar
 
-# Descriptors of the program itself: poller, signals, log, discovery's watches.
+# Descriptors reserved for the process itself: poller, signals, log and discovery watches.
 OWN_DESCRIPTORS = 16
-# Descriptors to divide at least, so that a tiny limit leaves every side some.
+# Minimum number of descriptors to divide, so that clients and leaves get some at any limit.
 MIN_SHARED_DESCRIPTORS = 8
-# A planned end leaves the longest deadline, but no more of it than this ...
+# A graceful shutdown may take the longest deadline of a query, counted up to this bound.
 MAX_SHUTDOWN_DEADLINE_S = 3.0
-# ... and so much on top, before the process is killed.
+# It may take this much longer before the process is killed.
 SHUTDOWN_SLACK_S = 0.7
-# All is answered so long before that: a root may be held up for 0.15 s when SIGTERM comes, and
-# again when it answers.
+# Time before the kill by which all requests are answered: it may stall for 0.15 s when SIGTERM
+# arrives, and again when it answers.
 ANSWER_MARGIN_S = 0.3
-# The process exits so long after the last answer, with time left to be gone before it is killed.
+# Delay between the last answer and exit; short enough that the process ends before the kill.
 EXIT_S = 0.1
-# Pause before an address that is still in use at a start is bound again.
+# Delay before retrying to bind an address that is still in use at startup.
 LISTEN_RETRY_S = 0.05
-# A start fails once its address has been in use for so long.
+# Startup fails if the address is still in use after this time.
 LISTEN_TIMEOUT_S = 10.0
-# An answer may come so long after its client's deadline, where it waited behind another's.
+# Time by which an answer that waits behind another one may exceed its client's deadline.
 PIPELINE_SLACK_S = 0.25
-# A task that goes on so much later than it was due was held up: what came meanwhile lies unread.
+# A task that resumes this much later than due has stalled; data that arrived meanwhile is unread.
 STALLED_S = 0.05
-# A leaf closes at its idle time at the latest, and a request that crosses that close may have run:
-# so the root closes after this part of it. The rest covers the way there and a stalled root.
+# Fraction of a leaf's idle time after which the root closes an idle connection. If the leaf closed
+# first, a request sent at that moment may have run. The rest covers network delay and stalls.
 LEAF_IDLE_FRACTION = 0.75
 
 
 @dataclass(slots=True, frozen=True)
 class ResourceLimits:
-    """Bounds on connections (counts) and their times (seconds)."""
+    """Limits on connections (counts) and their timeouts (seconds)."""
 
-    # Connections of clients at once; past it the longest idle one is closed.
+    # Maximum number of client connections; beyond it the longest idle one is closed.
     clients: int
-    # Connections to all leaves together.
+    # Maximum number of connections to all leaves together.
     leaf_connections: int
-    # An idle connection to a leaf is closed after so long.
+    # Idle time after which a connection to a leaf is closed.
     leaf_idle_s: float
-    # An idle connection of a client is closed after so long.
+    # Idle time after which a client's connection is closed.
     client_idle_s: float
-    # A request has to be read to its end within so long of its first byte, or of connecting.
+    # Maximum time from connecting, or from the first byte of a request, to its last byte.
     request_s: float
-    # The client has to read its answer within so long.
+    # Maximum time for a client to read its answer.
     send_s: float
-    # New connections are still accepted for so long after SIGTERM.
+    # Time after SIGTERM during which new connections are still accepted.
     stopping_s: float
-    # All is answered by so long after SIGTERM.
+    # Time after SIGTERM by which every request is answered.
     ending_s: float
-    # A connection that the client was asked to close is still read from for so long.
+    # Time for which a connection is still read after the client was asked to close it.
     linger_s: float
 
 
 def derive_limits(descriptors: int, idle_us: int, longest_deadline_us: int) -> ResourceLimits:
-    """Return the limits of a root that may hold so many descriptors.
+    """Return the limits for a root with that number of file descriptors.
 
-    `idle_us`: after which its leaves close an idle connection. `longest_deadline_us`: the longest
-    that a client waits.
+    `idle_us`: idle time after which its leaves close a connection. `longest_deadline_us`: the
+    longest deadline of any query class.
     """
     shared = max(MIN_SHARED_DESCRIPTORS, descriptors - OWN_DESCRIPTORS)
     longest_s = min(longest_deadline_us / 1e6, MAX_SHUTDOWN_DEADLINE_S)
@@ -82,13 +81,13 @@
 
 
 class IdleClient(Protocol):
-    """What decides which idle connection of a client is closed first."""
+    """The state of an idle client connection that determines the order of closing."""
 
-    # The last answer is sent; only the client's close is awaited.
+    # Its last answer has been sent; only the client's close is outstanding.
     lingering: bool
-    # It had an answer before.
+    # It has received an answer before.
     served: bool
-    # Since when it is idle.
+    # When it became idle.
     since_s: float
 
 
@@ -98,11 +97,11 @@
 def clients_to_close(
     idle: Iterable[IdleClientT], open_count: int, max_open: int
 ) -> Sequence[IdleClientT]:
-    """Return the idle connections that may be closed as one more has come, in their order.
+    """Return the idle connections that may be closed, in order; empty if within `max_open`.
 
-    First those that had their last answer, then those between requests, the longest idle first,
-    then those that have asked nothing yet. The caller closes as many as bring it within `max_open`;
-    none where it is.
+    Lingering connections come first, then those between requests, then those that have sent no
+    request yet; within each group, the longest idle first. The caller closes as many as exceed
+    `max_open`.
     """
     if open_count <= max_open:
         return []
@@ -112,11 +111,12 @@
 
 
 def pipelined_deadline_s(now_s: float, timeouts_ms: Sequence[int]) -> float | None:
-    """Return when the open request of a connection has to be answered at the latest.
+    """Return the deadline that pipelined requests impose on the open request before them.
 
-    `timeouts_ms`: what the requests state that came behind it, now; None if none came. Answers are
-    sent in the order of requests: without this, a request that has little time would be answered
-    long after it, behind one that has much. Harm: the open one fails earlier than its client asked.
+    `timeouts_ms`: the timeouts of the requests that are queued behind it, from now; return None if
+    there are none. Answers are sent in the order of requests: without this bound, a request with a
+    short timeout would wait long past it behind one with a long timeout. Cost: the open request may
+    fail before its own timeout.
     """
     if not timeouts_ms:
         return None
--- a/mothnotch/decisions/settings.py
+++ b/mothnotch/decisions/settings.py
@@ -1,6 +1,7 @@
-"""Reads Settings from JSON options.
+"""Parse Settings from JSON options.
 
-The simulator's first message states them, and so does a real root's configuration.
+The options come from the simulator's first message or from a root's configuration file. Their keys
+use the simulator's terms: a lane is a query class, and the family describes the shards.
 """
 
 from mothnotch.decisions.interface import Idempotency, Limits, QueryClass, Rules, Settings
@@ -13,9 +14,9 @@
 
 
 def settings(options: dict) -> Settings:
-    """Return the Settings that a JSON object of options states; keys not known are skipped.
+    """Return the Settings from a JSON object of options, ignoring unknown keys.
 
-    Raise KeyError if a key that has no default is missing.
+    Raise KeyError if a key without a default is missing.
     """
     family = options["familyInfo"]
     return Settings(
@@ -45,7 +46,7 @@
 
 
 def _query_class(lane, family, number):
-    """The class that a lane states; the family lists some values by the lanes' numbers."""
+    """Return the class of a lane; the family lists some of its values by lane number."""
 
     def by_number(key, default):
         values = family.get(key)
--- a/mothnotch/decisions/start_times.py
+++ b/mothnotch/decisions/start_times.py
@@ -1,56 +1,56 @@
-"""Carry start times of leaves from the wall clock of their lists to the root's monotonic clock.
+"""Convert start times of leaves from wall-clock time to the root's monotonic clock.
 
-Pure: both clocks come in as numbers. A leaf in slow start may get only part of its load, so that
-none may look older than it is. The wall clock of the root's machine may be stepped at any time, by
-seconds or by an hour; therefore it is read once, when the process begins, and carried on by the
-monotonic clock. A step later on changes nothing.
+Pure: callers pass in both clocks' readings. A leaf in slow start must get only part of its load, so
+it must not appear older than it is. The wall clock of the root's machine may be stepped at any
+time, by seconds or by an hour; therefore it is read once, when the process starts, and advanced by
+the monotonic clock. Later steps have no effect.
 
-What is left is the error that the wall clock had at that one moment. It cannot make a leaf look
-warmed up that is first listed while the root runs: a start that is new to the root lies no further
-back than the last message of discovery, less what discovery itself may be late by. One that claims
-to is not believed, and the leaf counts as started when the message came. Only in the first list of
-a process is there no earlier message to check a start against; there the wall clock is believed.
+The remaining error is that of the wall clock at that moment. It cannot make a leaf that is first
+listed while the root runs look warmed up: a start time that is new to the root must be at or after
+discovery's previous message, less discovery's own maximum delay. A start time that is earlier is
+discarded, and the leaf counts as started when the message arrived. Only for the first list of a
+process is there no previous message to check against; there the wall clock is trusted.
 
-Harm: a leaf that discovery lists later than `MAX_NOTICE_US` after its start is taken for more
-recently started than it is. So is one that starts behind a root whose wall clock was fast when the
-process began, or slow: one that lies in the future counts as starting now.
+Cost: a leaf that discovery lists more than `MAX_NOTICE_US` after its start counts as started more
+recently than it was. So does a leaf whose root had a wrong wall clock at process start, fast or
+slow: a start time in the future counts as now.
 """
 
-# Longest that discovery takes to list a start while it is up; settings state up to 5 s.
+# Maximum delay between a start and its listing while discovery is up; settings state up to 5 s.
 MAX_NOTICE_US = 10_000_000
-# The own clock's first instant that is not "long ago".
+# Earliest time on the monotonic clock that does not mean "long ago".
 EARLIEST_US = 1
-# What stands for a start that is long ago: the leaf is warmed up.
+# Start time that means "long ago": the leaf is warmed up.
 LONG_AGO_US = 0
-# Leaves whose start is remembered; past it, the one that was listed longest ago is forgotten.
+# Maximum number of leaves kept; beyond it the least recently listed one is evicted.
 MAX_LEAVES = 4096
 
 
 class StartTimes:
-    """Remember each leaf's stated start, and when that was on the root's own clock.
+    """Remember each leaf's start time as listed and on the root's monotonic clock.
 
     Bound: `MAX_LEAVES` leaves.
     """
 
     def __init__(self, now_us: int, wall_s: float):
-        """Hold both clocks against each other, once."""
+        """Record the offset between the two clocks, once."""
         self.wall_offset_s = wall_s - now_us / 1e6
-        # leaf -> (start as stated, start on the own clock)
+        # leaf -> (start time as listed, start time on the monotonic clock)
         self.known: dict[str, tuple[float | None, int]] = {}
         self.last_message_us: int | None = None
 
     def record_message(self, now_us: int) -> None:
-        """Note that discovery sent something, if only that nothing has changed."""
+        """Record the time of a message from discovery, including a heartbeat."""
         self.last_message_us = now_us
 
     def started_us(self, name: str, stated_s: float | None, now_us: int) -> int:
-        """Return when a leaf started, on the own clock; `LONG_AGO_US` if long ago.
+        """Return a leaf's start time on the monotonic clock; `LONG_AGO_US` if long ago.
 
-        `stated_s`: its stated start in seconds of the wall clock; None states long ago.
+        `stated_s`: its listed start time in seconds of wall-clock time; None means long ago.
         """
         known = self.known.pop(name, None)
         if known is not None and known[0] == stated_s:
-            # The same process, listed again: its start is not moved by a microsecond.
+            # The same process, listed again: keep its start time exactly.
             started_us = known[1]
         else:
             started_us = self._first_listed(stated_s, now_us)
@@ -60,7 +60,7 @@
         return started_us
 
     def _first_listed(self, stated_s, now_us):
-        """Return a start on the own clock that is new to this root."""
+        """Convert a start time that this root has not seen before."""
         if stated_s is None:
             return LONG_AGO_US
         age_us = max(0, int((self.wall_offset_s - stated_s) * 1e6 + now_us))
@@ -68,12 +68,12 @@
             age_us = 0
         if age_us < now_us:
             return now_us - age_us
-        # Before the own clock's zero. A recent start is moved to the nearest instant that the clock
-        # has, so that the leaf still counts as warming up.
+        # The start precedes the monotonic clock's zero. A recent one becomes the earliest time that
+        # the clock has, so that the leaf still counts as warming up.
         return EARLIEST_US if age_us <= MAX_NOTICE_US else LONG_AGO_US
 
     def _is_too_old(self, age_us, now_us):
-        """Return whether discovery would have listed such a start long ago: the clock was wrong."""
+        """Return whether discovery would have listed the start earlier, so the clock was wrong."""
         if self.last_message_us is None:
             return False
         return age_us > now_us - self.last_message_us + MAX_NOTICE_US
--- a/mothnotch/decisions/token_bucket.py
+++ b/mothnotch/decisions/token_bucket.py
@@ -1,11 +1,11 @@
-"""A token bucket."""
+"""Token bucket rate limiter."""
 
 
 class TokenBucket:
-    """Tokens that are taken at once and refilled at a steady rate, up to a size; full at first."""
+    """Token bucket of fixed size, refilled at a constant rate; initially full."""
 
     def __init__(self, size: float, rate_per_s: float = 0.0):
-        """Make a full bucket; with a rate of 0 only `add` refills it."""
+        """Start full; with a rate of 0 only `add` refills the bucket."""
         self.size = size
         self.rate_per_s = rate_per_s
         self.tokens = size
@@ -16,13 +16,13 @@
         self.tokens = min(self.size, self.tokens + tokens)
 
     def holds(self, now_us: int, cost: float = 1) -> bool:
-        """Return whether so many tokens are there now."""
+        """Return whether the bucket contains `cost` tokens now."""
         self.add((now_us - (self.refilled_us or now_us)) * self.rate_per_s / 1e6)
         self.refilled_us = now_us
         return self.tokens >= cost
 
     def take(self, now_us: int, cost: float = 1, reserve: float = 0) -> bool:
-        """Take `cost` tokens if `reserve` are left after it; return whether they were taken."""
+        """Take `cost` tokens if that leaves `reserve`; return whether they were taken."""
         taken = self.holds(now_us, cost + reserve)
         self.tokens -= cost * taken
         return taken
--- a/mothnotch/decisions/transactions.py
+++ b/mothnotch/decisions/transactions.py
@@ -1,9 +1,9 @@
-"""Decide what a transaction over shards may hold, and whether its COMMIT agrees with its counts.
+"""Rules for transactions over shards: buffered writes, savepoints and row counts at COMMIT.
 
-Pure. A write inside BEGIN ... COMMIT is buffered until COMMIT, with the number of rows that the
-client got for it; all writes of a transaction must name one bin range, so that one leaf commits
-them, or none does. At COMMIT the leaf runs them; the counts must be those that the client got, else
-it rolls back. docs/sql.md weighs the ways.
+Pure. A write inside BEGIN ... COMMIT is buffered until COMMIT, with the row count reported to the
+client. All writes of a transaction must be to one bin range, so that a single leaf commits all of
+them or none. At COMMIT the leaf runs them and rolls back if any row count differs from the one
+reported. docs/sql.md discusses the alternatives.
 """
 
 from collections.abc import Iterable, Sequence
@@ -11,22 +11,22 @@
 from enum import Enum
 from typing import Any
 
-# Writes a transaction buffers at most, and savepoints: bounds what a session holds in memory.
+# Maximum number of writes, and of savepoints, in a transaction; bounds the memory of a session.
 MAX_ENTRIES = 64
 
 
 class RequestRejectedError(Exception):
-    """A statement that cannot be served truthfully inside this transaction."""
+    """A statement that cannot be executed correctly inside this transaction."""
 
     def __init__(self, sqlstate: str, text: str, hint: str = ""):
-        """Carry the SQLSTATE, text and hint that the client gets."""
+        """Set the SQLSTATE, text and hint for the client."""
         super().__init__(text)
         self.sqlstate = sqlstate
         self.hint = hint
 
 
 class Status(Enum):
-    """A session's transaction status, with ReadyForQuery's letter."""
+    """Transaction status of a session; the value is its code in ReadyForQuery."""
 
     IDLE = b"I"
     OPEN = b"T"
@@ -35,18 +35,18 @@
 
 @dataclass(slots=True, frozen=True)
 class BufferedWrite:
-    """A write that is held until COMMIT."""
+    """A write that is buffered until COMMIT."""
 
-    # What its leaf gets.
+    # The message for the leaf.
     payload: Any
-    # The rows that the client was notified of.
+    # The row count reported to the client.
     row_count: int
     plan: Any
 
 
 @dataclass(slots=True, frozen=True)
 class Savepoint:
-    """What a transaction held when a savepoint was set."""
+    """State of a transaction when a savepoint was set."""
 
     name: str
     write_count: int
@@ -56,27 +56,27 @@
 
 @dataclass(slots=True)
 class Transaction:
-    """What one session has under way."""
+    """State of a session's transaction block."""
 
     status: Status = Status.IDLE
     read_only: bool = False
-    # The one range that its writes name.
+    # The bin range of its writes; None: nothing written yet.
     shard: int | None = None
     writes: list[BufferedWrite] = field(default_factory=list)
     # Tables written so far.
     tables: set[str] = field(default_factory=set)
     savepoints: list[Savepoint] = field(default_factory=list)
-    # Bound of `writes` and of `savepoints`.
+    # Maximum length of `writes` and of `savepoints`.
     max_entries: int = MAX_ENTRIES
 
     def begin(self, read_only: bool = False) -> None:
-        """Open a transaction block; one that is open or failed stays as it is."""
+        """Open a transaction block; keep one that is open or failed."""
         if self.status is Status.IDLE:
             self.status = Status.OPEN
             self.read_only = read_only
 
     def reset(self) -> None:
-        """End the transaction block and drop all that it holds."""
+        """End the transaction block and discard its state."""
         self.status = Status.IDLE
         self.shard = None
         self.read_only = False
@@ -84,10 +84,10 @@
         self.tables = set()
         self.savepoints = []
 
-    # Savepoints cost nothing here: a write after one has not been sent yet, and is dropped.
+    # Savepoints need no message to a leaf: writes after one are still buffered and can be dropped.
 
     def add_savepoint(self, name: str) -> None:
-        """Set a savepoint; raise RequestRejectedError outside of a block or past the bound."""
+        """Set a savepoint; raise RequestRejectedError outside a block or if there are too many."""
         if self.status is Status.IDLE:
             raise RequestRejectedError("25P01", "SAVEPOINT can only be used in transaction blocks")
         self.check_not_failed()
@@ -99,14 +99,14 @@
         self.savepoints.append(savepoint)
 
     def release_savepoint(self, name: str) -> None:
-        """Forget a savepoint and those after it; raise RequestRejectedError if there is none."""
+        """Remove a savepoint and all later ones; raise RequestRejectedError if there is none."""
         self.check_not_failed()
         del self.savepoints[self._savepoint_index(name) :]
 
     def rollback_to_savepoint(self, name: str) -> None:
-        """Drop what came after a savepoint, a failure too.
+        """Discard everything after a savepoint, including a failed status.
 
-        Raise RequestRejectedError if there is none of that name.
+        Raise RequestRejectedError if there is no savepoint of that name.
         """
         index = self._savepoint_index(name)
         savepoint = self.savepoints[index]
@@ -117,7 +117,7 @@
         self.status = Status.OPEN
 
     def _savepoint_index(self, name):
-        """Return the place of the last savepoint of that name."""
+        """Return the index of the last savepoint of that name."""
         for index in range(len(self.savepoints) - 1, -1, -1):
             if self.savepoints[index].name == name:
                 return index
@@ -126,9 +126,9 @@
         raise RequestRejectedError("3B001", f'savepoint "{name}" does not exist')
 
     def mark_failed(self) -> None:
-        """Note that a statement failed.
+        """Mark an open block as failed.
 
-        All else until the end of the block is rejected, and COMMIT rolls back.
+        Further statements are rejected until the end of the block, and COMMIT rolls back.
         """
         if self.status is Status.OPEN:
             self.status = Status.FAILED
@@ -142,7 +142,7 @@
             )
 
     def check_read(self, tables: Iterable[str]) -> None:
-        """Raise RequestRejectedError if a table to be read was written in this transaction."""
+        """Raise RequestRejectedError if this transaction has written one of the tables."""
         written = self.tables & set(tables)
         if written:
             raise RequestRejectedError(
@@ -153,9 +153,9 @@
             )
 
     def check_write(self, shard: int | None, returning: bool) -> None:
-        """Raise RequestRejectedError if a write to that range may not be buffered.
+        """Raise RequestRejectedError if a write to that range must not be buffered.
 
-        `returning`: the statement wants rows back.
+        `returning`: the statement has a RETURNING clause.
         """
         if self.read_only:
             raise RequestRejectedError("25006", "cannot execute a write in a read-only transaction")
@@ -178,16 +178,17 @@
             )
 
     def buffer_write(self, write: BufferedWrite, shard: int, table: str) -> None:
-        """Hold a write until COMMIT; `check_write` came before."""
+        """Buffer a write that `check_write` has accepted."""
         self.writes.append(write)
         self.shard = shard
         self.tables.add(table)
 
 
 def counts_agree(notified: Sequence[int | None], actual: Sequence[int]) -> bool:
-    """Return whether the statements did at the leaf what the client was notified of each.
+    """Return whether the leaf's row counts equal those reported to the client.
 
-    None: the client was notified of nothing yet. Raise ValueError if the lengths differ.
+    None in `notified`: no count has been reported for that statement. Raise ValueError if the
+    lengths differ.
     """
     pairs = zip(notified, actual, strict=True)
     return all(expected is None or expected == count for expected, count in pairs)
--- a/mothnotch/decisions/watch_policy.py
+++ b/mothnotch/decisions/watch_policy.py
@@ -1,91 +1,90 @@
-"""Decide when watches over discovery's list are opened, and when the root may say it is ready.
+"""Policy for opening watches of discovery's endpoint list, and for the root's readiness.
 
-Pure: what watches did and the clock come in. All times are in seconds.
+Pure: callers pass in the watches' events and the time. All times are in seconds.
 """
 
 from collections.abc import Callable
 
-# A watch sends something every so often, if only that nothing has changed.
+# Interval at which a watch sends a message, even if nothing has changed.
 HEARTBEAT_S = 2.0
-# A watch silent for so many heartbeats has another opened beside it.
+# Number of heartbeat intervals of silence after which another watch is opened.
 MAX_SILENT_HEARTBEATS = 2.25
-# A watch just opened has to send something by then: the first one; doubled with each further one,
-# up to the second, so that an agent that answers late is not asked over and over.
+# Time that a new watch has to send its first message, initially and at most. Doubled with each
+# further watch, so that a slow agent is not sent many requests.
 FIRST_MESSAGE_S = 0.5
 MAX_FIRST_MESSAGE_S = 6.0
-# Backoff before a watch is opened in place of the last one, which broke: at first, and at most.
+# Backoff before replacing the last open watch after it broke, initially and at most.
 REOPEN_S = 0.05
 MAX_REOPEN_S = 0.2
-# A watch has to be connected by then.
+# Timeout for connecting a watch.
 CONNECT_TIMEOUT_S = 1.0
-# Watches open at once; past it the oldest is closed.
+# Maximum number of open watches; beyond it the oldest is closed.
 MAX_OPEN = 3
-# A root that no list has reached is ready all the same, with the list it was given.
+# Time after which a root that received no list becomes ready with its configured list.
 READY_S = 8.0
-# A configuration that cannot be used may have been read half written: it is read again after this
-# pause ...
+# Delay before an invalid configuration is read again, as it may have been read while being written.
 RELOAD_RETRY_S = 0.1
-# ... for so long.
+# Time after which reloading an invalid configuration gives up.
 RELOAD_TIMEOUT_S = 3.0
 
 
 class WatchPolicy:
-    """Decide when another watch is opened beside those open, or in place of one that broke.
+    """Decide when to open another watch, beside the open ones or in place of a broken one.
 
-    What the agent holds counts as notified whether or not a watch is open, and what a silent watch
-    misses counts as notified soon after. So a watch that is silent is not closed for another, which
-    may be as silent: both stay open, and the first that sends something goes on alone. Guards
-    against watches that fall silent, come up silent, or break again and again. Harm: an agent that
-    is down is asked five times a second while it turns watches away, and holds `max_open` while it
-    does not.
+    The platform counts a root as notified of the agent's list whether or not a watch is open, and
+    of a change soon after a silent watch missed it. Therefore a silent watch is not closed for a
+    new one, which may be silent as well: both stay open, and the first that sends a message
+    replaces the others. Guards against watches that fall silent, are silent from the start or break
+    repeatedly. Cost: an agent that is down gets five requests a second while it refuses watches,
+    and `max_open` watches while it accepts them.
     """
 
     connect_timeout_s = CONNECT_TIMEOUT_S
     max_open = MAX_OPEN
 
     def __init__(self, random: Callable[[], float], now_s: float = 0.0):
-        """Begin without a watch, one being due; `random()` gives numbers from 0 to 1."""
+        """Start without a watch, the first being due; `random()` returns numbers from 0 to 1."""
         self.random = random
         self.began_s = now_s
-        # When the next watch is opened.
+        # When the next watch is due.
         self.due_s = now_s
         self.open_count = 0
-        # Whether any watch has sent anything yet.
+        # Whether any watch has sent a message.
         self.has_received = False
         self.reopen_s = REOPEN_S
         self.first_message_s = FIRST_MESSAGE_S
 
     def on_opened(self, now_s: float) -> None:
-        """Take in that a watch was opened."""
+        """Record that a watch was opened."""
         self.open_count += 1
         self.due_s = now_s + self.first_message_s
         self.first_message_s = min(MAX_FIRST_MESSAGE_S, 2 * self.first_message_s)
 
     def on_message(self, now_s: float) -> None:
-        """Take in that one of them sent something: the others are closed."""
+        """Record that a watch sent a message; the caller closes the others."""
         self.has_received = True
         self.open_count = 1
         self._reset_backoff()
         self.due_s = now_s + HEARTBEAT_S * MAX_SILENT_HEARTBEATS
 
     def on_broken(self, now_s: float) -> None:
-        """Take in that one of them ended. In place of the last one another is opened, spread."""
+        """Record that a watch ended; schedule another, with jitter, if it was the last one."""
         self.open_count -= 1
         if self.open_count == 0:
             self.due_s = min(self.due_s, now_s + self.reopen_s * (0.5 + self.random() / 2))
             self.reopen_s = min(MAX_REOPEN_S, 2 * self.reopen_s)
 
     def on_agent_changed(self, now_s: float) -> None:
-        """Take in that another agent is asked: none of the open watches counts."""
+        """Record a switch to another agent; the open watches no longer count."""
         self.due_s = now_s
         self.open_count = 0
         self._reset_backoff()
 
     def is_ready(self, now_s: float) -> bool:
-        """Return whether the root may say that it is ready.
+        """Return whether the root may report that it is ready.
 
-        It is with the agent's own list, as what the agent holds counts from the first moment of a
-        process. Harm: while discovery is down, a root that starts serves nobody for `READY_S`.
+        It needs the agent's list, as the platform counts that list as known to the root from its
+        start. Cost: while discovery is down, a starting root serves no queries for `READY_S`.
         """
         return self.has_received or now_s - self.began_s >= READY_S
 
