--- a/mothnotch/decisions/resource_limits.py
+++ b/mothnotch/decisions/resource_limits.py
@@ -17,8 +17,8 @@
 MAX_SHUTDOWN_DEADLINE_S = 3.0
 # It may take this much longer before the process is killed.
 SHUTDOWN_SLACK_S = 0.7
-# Time before the kill by which all requests are answered: it may stall for 0.15 s when SIGTERM
-# arrives, and again when it answers.
+# Time before the kill by which all requests are answered. The root may stall for 0.15 s when
+# SIGTERM arrives, and again when it answers.
 ANSWER_MARGIN_S = 0.3
 # Delay between the last answer and exit; short enough that the process ends before the kill.
 EXIT_S = 0.1
