--- a/tests/support/balancer_driver.py
+++ b/tests/support/balancer_driver.py
@@ -38,7 +38,7 @@
     return replace(base, limits=limits, rules=rules, **changes)
 
 
-def entry(server, cell=0, state="up", weight=1.0, started_us=0):
+def endpoint(server, cell=0, state="up", weight=1.0, started_us=0):
     return i.Endpoint(server, "a", cell, state, weight, started_us)
 
 
@@ -47,64 +47,75 @@
 
     def __init__(self, *classes, servers=("s1", "s2", "s3"), seed=1, now=1000 * S, **changes):
         self.balancer = Balancer(settings(*classes, **changes), seed)
-        self.now, self.wakes, self.count = now, [], 0
-        self.out, self.said = {}, []  # (part, attempt) -> server; every action so far
+        self.now, self.timers_us, self.query_count = now, [], 0
+        self.in_flight, self.all_actions = {}, []  # (part, attempt) -> server; every action so far
         self.sent_us = {}  # (part, attempt) -> when it was sent
-        self.number = {}  # part -> attempts so far
-        listed = tuple(s if isinstance(s, i.Endpoint) else entry(s) for s in servers)
-        self.events(i.WatchEvent(i.WatchEventKind.CACHED, 1, listed))
+        self.attempt_numbers = {}  # part -> attempts so far
+        listed = tuple(s if isinstance(s, i.Endpoint) else endpoint(s) for s in servers)
+        self.handle(i.WatchEvent(i.WatchEventKind.CACHED, 1, listed))
 
-    def events(self, *events):
+    def handle(self, *events):
         actions = self.balancer.handle(self.now, list(events))
         for action in actions:
             if isinstance(action, i.Send):
-                n = self.number[action.part] = self.number.get(action.part, -1) + 1
-                self.out[action.part, n] = action.server
+                n = self.attempt_numbers[action.part] = (
+                    self.attempt_numbers.get(action.part, -1) + 1
+                )
+                self.in_flight[action.part, n] = action.server
                 self.sent_us[action.part, n] = self.now
             elif isinstance(action, i.SetTimer):
-                self.wakes.append(self.now + action.delay_us)
-        self.said += actions
+                self.timers_us.append(self.now + action.delay_us)
+        self.all_actions += actions
         return actions
 
-    def ask(self, shards=(0,), name="read", key=None, cost=50 * MS, life=3 * S, tenant=None):
-        self.count += 1
-        query = f"q{self.count}"
+    def send_query(
+        self, shards=(0,), name="read", key=None, cost=50 * MS, timeout_us=3 * S, tenant=None
+    ):
+        self.query_count += 1
+        query = f"q{self.query_count}"
         parts = [
-            i.PartArrived(f"{query}.{n}", self.count, shard, 1 / len(shards), cost)
+            i.PartArrived(f"{query}.{n}", self.query_count, shard, 1 / len(shards), cost)
             for n, shard in enumerate(shards)
         ]
-        return query, self.events(
+        return query, self.handle(
             i.QueryArrived(
-                query, self.count, name, tenant, key, self.now + life, cost * len(shards), False
+                query,
+                self.query_count,
+                name,
+                tenant,
+                key,
+                self.now + timeout_us,
+                cost * len(shards),
+                False,
             ),
             *parts,
         )
 
-    def end(self, part, result=i.Result.OK, attempt=None, latency=None):
+    def end_attempt(self, part, result=i.Result.OK, attempt=None, latency=None):
         """Ends an attempt; a cancelled one after the time since it was sent, others after 50 ms, if
         no latency is given.
         """
-        attempt = self.number[part] if attempt is None else attempt
-        server = self.out.pop((part, attempt))
+        attempt = self.attempt_numbers[part] if attempt is None else attempt
+        server = self.in_flight.pop((part, attempt))
         if latency is None and result is i.Result.CANCELLED:
             latency = self.now - self.sent_us[part, attempt]
         elif latency is None:
             latency = 50 * MS
-        return self.events(i.AttemptEnded(part, attempt, server, result, latency, None))
+        return self.handle(i.AttemptEnded(part, attempt, server, result, latency, None))
 
-    def news(self, kind, *entries):
-        return self.events(i.WatchEvent(kind, 2, entries))
+    def watch_event(self, kind, *entries):
+        return self.handle(i.WatchEvent(kind, 2, entries))
 
     def run(self, span, step=5 * MS):
         """Lets time pass, waking the balancer as it asked; the actions taken meanwhile."""
         seen, until = [], self.now + span
         while self.now < until:
             self.now += step
-            if any(w <= self.now for w in self.wakes):
-                self.wakes = [w for w in self.wakes if w > self.now]
-                seen += self.events(i.TimerFired(0))
+            if any(w <= self.now for w in self.timers_us):
+                self.timers_us = [w for w in self.timers_us if w > self.now]
+                seen += self.handle(i.TimerFired(0))
         return seen
 
 
-def of(kind, actions):
+def of_type(kind, actions):
     return [a for a in actions if isinstance(a, kind)]
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -3,18 +3,18 @@
 """
 
 from mothnotch.decisions import interface as i
-from tests.support.balancer_driver import MS, Root, S, of
+from tests.support.balancer_driver import MS, Root, S, of_type
 
 
 def used_root():
     """A root that has seen answers within 10 ms, and the server that a new part is out at."""
     root = Root()
     for _ in range(60):
-        _, actions = root.ask(cost=10 * MS)
-        for send in of(i.Send, actions):
+        _, actions = root.send_query(cost=10 * MS)
+        for send in of_type(i.Send, actions):
             root.now += 10 * MS
-            root.end(send.part, latency=10 * MS)
-    (send,) = of(i.Send, root.ask(cost=10 * MS)[1])
+            root.end_attempt(send.part, latency=10 * MS)
+    (send,) = of_type(i.Send, root.send_query(cost=10 * MS)[1])
     return root, send.part, root.balancer.servers[send.server]
 
 
@@ -22,7 +22,7 @@
     """Guards against blaming a leaf for the time that passed in the root before it asked."""
     root, part, server = used_root()
     root.now += 900 * MS
-    root.end(part, i.Result.CANCELLED, latency=1 * MS)
+    root.end_attempt(part, i.Result.CANCELLED, latency=1 * MS)
     assert not any(server.failure_rates.values())
 
 
@@ -30,14 +30,14 @@
     """Guards against counting the time between an attempt's end and the turn that hears of it."""
     root, part, server = used_root()
     root.now += 900 * MS
-    root.end(part, i.Result.CANCELLED, latency=11 * MS)
+    root.end_attempt(part, i.Result.CANCELLED, latency=11 * MS)
     assert not any(server.failure_rates.values())
 
 
 def test_a_server_that_was_silent_after_the_bytes_were_sent_is_marked():
     root, part, server = used_root()
     root.now += 900 * MS
-    root.end(part, i.Result.CANCELLED, latency=900 * MS)
+    root.end_attempt(part, i.Result.CANCELLED, latency=900 * MS)
     assert any(server.failure_rates.values())
 
 
@@ -45,7 +45,7 @@
     root, part, server = used_root()
     root.now += 900 * MS
     server.last_heard_us = root.now - 5 * MS
-    root.end(part, i.Result.CANCELLED, latency=900 * MS)
+    root.end_attempt(part, i.Result.CANCELLED, latency=900 * MS)
     assert not any(server.failure_rates.values())
 
 
@@ -56,22 +56,22 @@
     root.now += 2 * S
     server.last_heard_us = root.now
     server.last_answered_send_us = sent_us + 1
-    root.end(part, i.Result.CANCELLED, latency=2 * S)
+    root.end_attempt(part, i.Result.CANCELLED, latency=2 * S)
     assert any(server.failure_rates.values())
 
 
 def test_a_hold_up_before_the_bytes_were_sent_loses_no_idle_connection():
     """Guards against closing idle connections as lost for what the root did."""
     root, part, server = used_root()
-    root.end(part)
+    root.end_attempt(part)
     root.now += 3 * S
     while True:
-        (send,) = of(i.Send, root.ask(cost=10 * MS)[1])
+        (send,) = of_type(i.Send, root.send_query(cost=10 * MS)[1])
         if send.server == server.id:
             break
-        root.end(send.part)
+        root.end_attempt(send.part)
     idle = root.balancer.sender._idle_losses
     before = idle.share
     root.now += 900 * MS
-    root.end(send.part, i.Result.CANCELLED, latency=1 * MS)
+    root.end_attempt(send.part, i.Result.CANCELLED, latency=1 * MS)
     assert idle.share <= before
