--- a/mothnotch/consul/__init__.py
+++ b/mothnotch/consul/__init__.py
@@ -1,1 +1,1 @@
-"""Consul's HTTP API: asking its agents, reading answers, watching a service, registering a root."""
+"""Client of Consul's HTTP API: queries, the watch of a service, and the root's registration."""
--- a/mothnotch/consul/agent.py
+++ b/mothnotch/consul/agent.py
@@ -1,7 +1,8 @@
-"""One HTTP/1.1 client connection to an agent at a time, over the seam; h11 holds the protocol.
+"""HTTP/1.1 client for a Consul agent, on top of h11 and the network interface.
 
-Bounds: a body past `limit` ends the request and the connection; the caller bounds the wait. TLS is
-not spoken yet; `wrap` is where it will come in: given a stream, it gives the one to speak over.
+A client holds at most one connection. A body longer than `limit` ends the request and closes the
+connection; the caller limits the time. TLS is not supported yet; `wrap` is the extension point for
+it.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -11,18 +12,18 @@
 
 from mothnotch.net import shut
 
-# One read of the socket.
+# Bytes of one read from the socket.
 READ_BYTES = 1 << 16
-# A larger body is given up: no broken agent may take the root's memory.
+# A larger body fails the request, so that a broken agent cannot exhaust the root's memory.
 MAX_ANSWER_BYTES = 8 << 20
 
 
 class AgentError(Exception):
-    """An agent could not be asked, or what came back is no HTTP answer."""
+    """A request to an agent failed, or its response is not valid HTTP."""
 
 
 class Agent:
-    """An agent of Consul's. One request at a time; a connection is kept for the next one."""
+    """Client of one Consul agent: one request at a time, on a connection that is kept open."""
 
     def __init__(
         self,
@@ -32,9 +33,10 @@
         limit: int = MAX_ANSWER_BYTES,
         wrap: Callable[[trio.abc.Stream], Awaitable[trio.abc.Stream]] | None = None,
     ):
-        """Ask the agent at `address`, with `headers` on each request.
+        """Use the agent at `address`, with `headers` on each request.
 
-        `limit`: bytes of a body; `wrap`: gives the stream to speak over, of one just connected.
+        `limit` is the maximum number of bytes in a body; `wrap` turns a newly connected stream into
+        the one to use, such as a TLS stream.
         """
         self.network = network
         self.address = address
@@ -49,14 +51,14 @@
 
     @classmethod
     def of(cls, conf, address: str, network, who: str) -> "Agent":
-        """Return one of the agents that a ConsulConfig names; `who` asks, as its log shows."""
+        """Return a client of one of a ConsulConfig's agents, with `who` as its User-Agent."""
         headers = [("User-Agent", who), ("Accept", "application/json")]
         if conf.token:
             headers.append(("X-Consul-Token", conf.token))
         return cls(network, address, headers, conf.answer_limit)
 
     def close(self) -> None:
-        """Close the connection, if there is one; the next request opens another."""
+        """Close the connection, if there is one; the next request opens a new one."""
         if self.stream is not None:
             shut(self.stream)
         self.stream = None
@@ -65,9 +67,10 @@
     async def request(
         self, method: str, target: str, body: bytes = b""
     ) -> tuple[int, dict[str, str], bytes]:
-        """Return (status, headers by lower-case name, body); raise AgentError if there is none.
+        """Return (status, headers by lower-case name, body); raise AgentError if that fails.
 
-        Cancelling it closes the connection: what would still come on it belongs to nobody.
+        Cancellation closes the connection, since its pending response would otherwise be taken for
+        that of the next request.
         """
         is_reusable = self.stream is not None and not self.network.lost(self.stream)
         try:
@@ -80,7 +83,7 @@
             raise AgentError(f"{self.address}: {error or type(error).__name__}") from None
         except (h11.RemoteProtocolError, h11.LocalProtocolError) as error:
             self.close()
-            raise AgentError(f"{self.address}: no HTTP answer: {error}") from None
+            raise AgentError(f"{self.address}: invalid HTTP response: {error}") from None
         except BaseException:
             self.close()
             raise
@@ -116,7 +119,7 @@
         await self.stream.send_all(data + http.send(h11.EndOfMessage()))
 
     async def _receive(self):
-        """Return (status, headers, body); raise EOFError if the agent closes before the end."""
+        """Return (status, headers, body); raise EOFError if the connection closes early."""
         status = 0
         headers = {}
         body = bytearray()
@@ -125,7 +128,7 @@
             if event is h11.NEED_DATA:
                 data = await self.stream.receive_some(READ_BYTES)
                 if not data and not status:
-                    raise EOFError("closed without an answer")
+                    raise EOFError("connection closed before a response")
                 self.http.receive_data(data)
             elif isinstance(event, h11.Response):
                 status = event.status_code
@@ -137,8 +140,8 @@
                 body += event.data
                 if len(body) > self.limit:
                     self.close()
-                    raise AgentError(f"{self.address}: an answer of more than {self.limit} bytes")
+                    raise AgentError(f"{self.address}: response body exceeds {self.limit} bytes")
             elif isinstance(event, h11.EndOfMessage):
                 return status, headers, bytes(body)
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
-                raise EOFError("closed midway")
+                raise EOFError("connection closed within the response")
--- a/mothnotch/consul/api.py
+++ b/mothnotch/consul/api.py
@@ -1,7 +1,8 @@
-"""What is asked of Consul and what its answers mean, without I/O.
+"""Requests and responses of Consul's HTTP API, without I/O.
 
 Sources: the public HTTP API pages on blocking queries, consistency modes, catalog, health, agent
-services and checks. Names in structs are the API's own; fields that are not read are skipped.
+services and checks. The structs use the API's own field names and omit the fields that are not
+needed.
 """
 
 from collections.abc import Callable
@@ -11,24 +12,25 @@
 
 from mothnotch.decisions.leaf_membership.catalogue_answers import CatalogueAnswer, Instance
 
-# Errors of single entries that an answer carries on; a wholly broken answer must not flood the log.
+# The most parse errors kept of one answer, so that a wholly broken answer does not flood the log.
 MAX_UNREADABLE = 20
-# Decimal digits of a header's number; Consul's are unsigned, of 64 bits.
+# The most decimal digits of a number in a header; Consul's are unsigned 64-bit integers.
 MAX_NUMBER_DIGITS = 20
-# Bytes of an error's body that are shown.
+# Bytes of an error response's body that are shown.
 SHOWN_BODY_BYTES = 200
-# What older agents say, with status 500, of a check that they do not know.
+# Texts in the body with which older agents report an unknown check, with status 500.
 UNKNOWN_CHECK_TEXTS = (b"nknown check", b"does not have associated TTL")
-# The catalogue drops a root that beats no longer after so long, or so many heartbeat periods.
+# The catalogue removes a root that sends no heartbeat for this long, or for this many TTLs if that
+# is longer.
 MIN_DEREGISTER_AFTER_S = 60.0
 DEREGISTER_AFTER_TTLS = 20
 
 
 class BadAnswerError(ValueError):
-    """An answer that cannot be used, with what is wrong."""
+    """A response that cannot be used."""
 
     def __init__(self, text: str, status: int = 0, retry_after_s: float = 0.0):
-        """Say what is wrong; `status`: HTTP's, 0 if it was 200; `retry_after_s`: as stated."""
+        """Describe the error; `status` is the HTTP status, or 0 if it was 200."""
         super().__init__(text)
         self.status = status
         self.retry_after_s = retry_after_s
@@ -42,7 +44,7 @@
 
 
 class WeightFields(msgspec.Struct):
-    """Weights while passing and while warning."""
+    """The weights of a service while passing and while warning."""
 
     Passing: int = 1
     Warning: int = 1
@@ -97,7 +99,11 @@
     mode: str = "default",
     **parameters: str | None,
 ) -> str:
-    """Return the request target of a path: a blocking query's parameters, and those not None."""
+    """Return a request target: `path` and a query string.
+
+    `index` and `wait_s` are those of a blocking query. Parameters that are None or empty are
+    omitted.
+    """
     given = {}
     if index:
         given["index"] = str(index)
@@ -113,17 +119,17 @@
 
 
 def health_path(service: str) -> str:
-    """Return the path of a service's instances with their checks."""
+    """Return the path to query a service's instances with their checks."""
     return f"/v1/health/service/{quote(service, safe='')}"
 
 
 def catalog_path(service: str) -> str:
-    """Return the path of a service's instances without checks."""
+    """Return the path to query a service's instances without checks."""
     return f"/v1/catalog/service/{quote(service, safe='')}"
 
 
 def require_ok(status: int, headers: dict[str, str], body: bytes) -> None:
-    """Raise BadAnswerError unless the status is 200. `headers`: names in lower case."""
+    """Raise BadAnswerError unless the status is 200; header names are in lower case."""
     if status == 200:
         return
     try:
@@ -135,14 +141,14 @@
 
 
 def is_unknown_check(status: int, body: bytes) -> bool:
-    """Return whether an agent says that it does not know the check of a heartbeat."""
+    """Return whether the response to a heartbeat says that the agent does not know the check."""
     if status == 404:
         return True
     return status == 500 and any(text in body for text in UNKNOWN_CHECK_TEXTS)
 
 
 def _number(headers, name):
-    """Return a header's whole number, 0 if it is not there; raise BadAnswerError if it is none."""
+    """Return a header's integer, or 0 if it is missing; raise BadAnswerError if it is invalid."""
     text = headers.get(name, "0")
     if not text.isascii() or not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
         raise BadAnswerError(f"{name} is {text[:40]!r}, not a number")
@@ -154,12 +160,12 @@
 
 
 def _weights(fields):
-    """Return (while passing, while warning)."""
+    """Return the weights (while passing, while warning)."""
     return (fields.Passing, fields.Warning) if fields else (1, 1)
 
 
 def health_instance(raw: bytes) -> Instance:
-    """Return the instance of an entry of /v1/health/service; raise msgspec.MsgspecError."""
+    """Parse an entry of /v1/health/service; raise msgspec.MsgspecError if it is invalid."""
     entry = msgspec.json.decode(raw, type=HealthEntry)
     service = entry.Service
     return Instance(
@@ -174,7 +180,7 @@
 
 
 def catalog_instance(raw: bytes) -> Instance:
-    """Return the instance of an entry of /v1/catalog/service; raise msgspec.MsgspecError."""
+    """Parse an entry of /v1/catalog/service; raise msgspec.MsgspecError if it is invalid."""
     entry = msgspec.json.decode(raw, type=CatalogEntry)
     return Instance(
         f"{entry.Node}/{entry.ServiceID}",
@@ -196,18 +202,18 @@
     mode: str = "default",
     read: Callable[[bytes], Instance] = health_instance,
 ) -> CatalogueAnswer:
-    """Return the answer of an agent about a service; raise BadAnswerError if there is none.
+    """Parse an agent's response about a service; raise BadAnswerError if it is invalid.
 
-    `read` gives the instance of one entry. An entry that cannot be read is listed as such and does
-    not cost the others.
+    `read` parses one entry. An entry that cannot be parsed is reported in `unreadable` and does not
+    affect the others.
     """
     require_ok(status, headers, body)
     if "x-consul-index" not in headers:
-        raise BadAnswerError("no X-Consul-Index: this is not an answer of the catalogue")
+        raise BadAnswerError("header X-Consul-Index is missing: not a response of the catalogue")
     try:
         entries = msgspec.json.decode(body, type=list[msgspec.Raw])
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-        raise BadAnswerError(f"not a JSON list: {error}") from None
+        raise BadAnswerError(f"body is not a JSON array: {error}") from None
     instances = []
     unreadable = []
     for position, raw in enumerate(entries):
@@ -231,7 +237,7 @@
 def registration_body(
     service: str, name: str, host: str, port: int, meta: dict[str, str], ttl_s: float
 ) -> bytes:
-    """Return the body that registers a root, with a check that its heartbeat keeps passing."""
+    """Return the body that registers a root with a TTL check, which its heartbeats keep passing."""
     deregister_after_s = max(MIN_DEREGISTER_AFTER_S, DEREGISTER_AFTER_TTLS * ttl_s)
     return msgspec.json.encode(
         {
--- a/mothnotch/consul/doubt_resolver.py
+++ b/mothnotch/consul/doubt_resolver.py
@@ -1,4 +1,4 @@
-"""Resolves a doubt of the membership: asks every agent for a consistent answer until it is gone."""
+"""Resolve doubts of the membership by consistent queries to every agent."""
 
 from collections.abc import Callable
 
@@ -10,16 +10,16 @@
 from mothnotch.decisions.leaf_membership.membership import LeafMembership
 from mothnotch.root.core import now_us
 
-# Agents have so long for a consistent answer: the doubt holds up what the list says.
+# Timeout of a consistent query: while there is a doubt, changes of the list are delayed.
 ROUND_LIMIT_S = 1.0
-# A doubt that a round did not resolve is looked into again after a pause that doubles, so that a
-# catalogue without a leader is not flooded.
+# After a round that did not resolve the doubt, the next one follows after a pause that doubles each
+# time, so that a catalogue without a leader is not flooded with queries.
 FIRST_PAUSE_S = 0.1
 MAX_PAUSE_S = 5.0
 
 
 class DoubtResolver:
-    """Rounds of consistent queries, one at a time."""
+    """Runs rounds of consistent queries, one round at a time, while there is a doubt."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         random: Callable[[], float],
         on_round: Callable[[bool], None],
     ):
-        """Call `on_round` after each round, with whether it resolved the doubt."""
+        """Call `on_round` after each round with whether the round resolved the doubt."""
         self._query = query
         self._membership = membership
         self._network = network
@@ -40,7 +40,7 @@
         self._doubted = trio.Event()
 
     def on_doubt(self) -> None:
-        """Wake the rounds: the membership has a doubt."""
+        """Start rounds of queries, as the membership has a doubt."""
         self._doubted.set()
 
     async def run(self) -> None:
@@ -59,10 +59,13 @@
             pause_s = min(MAX_PAUSE_S, 2 * pause_s)
 
     async def _round(self, agents, log):
-        """Ask every agent for a consistent answer; return whether that resolved the doubt."""
+        """Send every agent a consistent query; return whether that resolved the doubt."""
         asked_us = now_us()
         answers = []
-        log("asking every agent for a consistent answer", why=self._membership.doubt)
+        log(
+            "an answer is in doubt; every agent is sent a consistent query",
+            why=self._membership.doubt,
+        )
 
         async def ask_one(number, scope):
             try:
@@ -70,7 +73,7 @@
                     agents[number], number, 0, None, "consistent", ROUND_LIMIT_S
                 )
             except (AgentError, api.BadAnswerError) as error:
-                log("no consistent answer", agent=agents[number].address, error=str(error))
+                log("consistent query failed", agent=agents[number].address, error=str(error))
                 return
             answers.append(answer)
             if self._resolve(asked_us, [answer], complete=False):
--- a/mothnotch/consul/inspect_agents.py
+++ b/mothnotch/consul/inspect_agents.py
@@ -1,4 +1,4 @@
-"""Shows what each agent says of the leaves' service, for an operator who asks whom to believe."""
+"""Report what each agent answers about the leaves' service, to compare the agents."""
 
 import msgspec
 import trio
@@ -8,14 +8,14 @@
 from mothnotch.decisions.leaf_membership.membership import LeafMembership
 from mothnotch.root.core import now_us
 
-# All questions to one agent: an operator waits no longer.
+# Timeout for all queries to one agent, so that an operator does not wait long for the report.
 AGENT_LIMIT_S = 3.0
-# Names of other services that are shown where the one asked for is missing.
+# The most names of other services shown if the configured one does not exist.
 MAX_SHOWN_SERVICES = 20
 
 
 async def inspect_agents(config, network) -> list[str]:
-    """Return lines about every agent of a configuration, in its order."""
+    """Return a report on every agent of a configuration, as lines in the configured order."""
     conf = config.consul
     settings = conf.membership(config.cells, config.reach)
     lines = {}
@@ -30,7 +30,7 @@
 
 
 async def _inspect_agent(conf, settings, network, address):
-    """Return lines about one agent."""
+    """Return the lines about one agent."""
     agent = Agent.of(conf, address, network, "mothnotch-members")
     try:
         with trio.fail_after(AGENT_LIMIT_S):
@@ -44,17 +44,17 @@
         f"{'known' if healthy.known_leader else 'NOT known'}, last contact "
         f"{healthy.last_contact_ms:g} ms, {len(healthy.instances)} of {len(listed.instances)} "
         f"instances of {conf.service!r}"
-        f"{', filtered by an access list' if healthy.filtered else ''}"
+        f"{', filtered by ACLs' if healthy.filtered else ''}"
     ]
     if conf.service not in services:
         names = ", ".join(sorted(services)[:MAX_SHOWN_SERVICES]) or "none"
-        lines.append(f"  no service {conf.service!r}; there are {names}")
+        lines.append(f"  no service {conf.service!r}; known services: {names}")
     lines += [f"  unreadable: {error}" for error in healthy.unreadable]
     return lines + _instance_lines(settings, network, healthy)
 
 
 async def _ask(conf, agent):
-    """Return the health answer, the catalogue's answer and the services that an agent knows."""
+    """Return an agent's health answer, its catalog answer and its services."""
 
     async def get(path, **parameters):
         target = api.target(
@@ -77,7 +77,7 @@
 
 
 def _instance_lines(settings, network, answer):
-    """Return lines about each instance: as the answer has it, and as a root would take it."""
+    """Return a line for each instance: its listed state and the state that a root derives."""
     membership = LeafMembership(settings)
     membership.on_answer(now_us(), network.wall(), answer)
     states = membership.effective_states()
@@ -87,8 +87,8 @@
         verdict = "not usable"
         if member is not None:
             verdict = (
-                f"cell {member.cell:3} weight {member.weight:g} told {member.admin_state}, "
-                f"{member.health}; taken as {states[instance.name]}"
+                f"cell {member.cell:3} weight {member.weight:g} state {member.admin_state}, "
+                f"health {member.health}; effective state {states[instance.name]}"
             )
         lines.append(f"  {instance.name:24} {instance.address:22} {verdict}")
     lines += [f"  {note.text}: {note.details}" for note in membership.notes]
--- a/mothnotch/consul/registrar.py
+++ b/mothnotch/consul/registrar.py
@@ -1,6 +1,6 @@
-"""The root's own entry in the catalogue: registered, kept by a heartbeat, removed on a clean stop.
+"""The root's own registration in Consul: created, kept passing by heartbeats, removed on shutdown.
 
-What is done when is decided by decisions/registration_policy.py; here it is done.
+`mothnotch.decisions.registration_policy` decides on each step; this module carries it out.
 """
 
 from collections.abc import Callable
@@ -15,14 +15,14 @@
     StepKind,
 )
 
-# One step's time: an agent that takes longer counts as failed.
+# Timeout of one step; an agent that exceeds it counts as failed.
 STEP_LIMIT_S = 2.0
-# All steps of a clean stop: a stop waits no longer for agents that are away.
+# Timeout of all steps of a shutdown, which does not wait longer for unreachable agents.
 STOP_LIMIT_S = 1.0
 
 
 class Registrar:
-    """Keeps the entry of one root."""
+    """Maintains the registration of one root."""
 
     def __init__(
         self,
@@ -37,8 +37,8 @@
     ):
         """Register root `me` as `name`.
 
-        `conf`: ConsulConfig with `register`; `where()` gives (host, port) that the root serves at,
-        `more()` what its entry states in its meta beside what the configuration does.
+        `conf` is a ConsulConfig with `register`. `where()` returns the (host, port) at which the
+        root serves, `more()` the metadata to register in addition to the configured one.
         """
         self._conf = conf
         self._name = name
@@ -51,7 +51,7 @@
         self._registration = RegistrationPolicy(len(conf.agents), me, conf.register.ttl_s, random)
 
     async def run(self) -> None:
-        """Keep the entry until cancelled; then remove it, in `STOP_LIMIT_S` at most."""
+        """Maintain the registration until cancelled; then remove it, within `STOP_LIMIT_S`."""
         try:
             while True:
                 step = self._registration.next_step()
@@ -74,21 +74,25 @@
                 raise AgentError(f"{address}: no answer in {STEP_LIMIT_S:g} s")
         except (AgentError, api.BadAnswerError) as error:
             if not self._registration.failures:
-                self._log.warning("own registration", step=step.kind.value, error=str(error))
+                self._log.warning(
+                    "a step of the registration failed", step=step.kind.value, error=str(error)
+                )
             self._registration.on_failure(trio.current_time(), step)
             return
         if not is_known:
             self._registration.on_failure(trio.current_time(), step, lost=True)
-            self._log.warning("the agent forgot this root; it registers again", agent=address)
+            self._log.warning(
+                "the agent lost the registration; the root registers again", agent=address
+            )
             return
         self._registration.on_success(step)
         if step.kind is StepKind.REGISTER:
             self._log.info("registered", name=self._name, agent=address)
 
     async def _put(self, step: RegistrationStep) -> bool:
-        """Send a step; return False if the agent does not know the check of a heartbeat.
+        """Send a step's request; return False if the agent does not know a heartbeat's check.
 
-        Raise BadAnswerError or AgentError if it failed otherwise.
+        Raise BadAnswerError or AgentError if the request fails otherwise.
         """
         path, body = self._request(step)
         target = api.target(path, dc=None, ns=self._conf.namespace, partition=self._conf.partition)
@@ -99,7 +103,7 @@
         return True
 
     def _request(self, step):
-        """Return (path, body) of a step."""
+        """Return the (path, body) of a step's request."""
         if step.kind is StepKind.REGISTER:
             host, port = self._where()
             body = api.registration_body(
--- a/mothnotch/consul/service_query.py
+++ b/mothnotch/consul/service_query.py
@@ -1,6 +1,6 @@
-"""Asks an agent for the instances of the leaves' service.
+"""Query an agent for the instances of the leaves' service.
 
-Bounds: one request an agent's connection at a time; an answer's bytes as the configuration says.
+Each client has one request in flight at a time; the configuration limits the size of an answer.
 """
 
 import hashlib
@@ -16,16 +16,16 @@
 
 
 class ServiceQuery:
-    """The query that all agents of a configuration are asked."""
+    """The query for the service of a configuration, to be sent to any of its agents."""
 
     def __init__(self, conf, network, me: int):
-        """Ask as root `me`; `conf`: ConsulConfig."""
+        """Send queries as root `me`; `conf` is a ConsulConfig."""
         self._conf = conf
         self._network = network
         self._asker = f"mothnotch/{me}"
 
     def agents(self) -> list[Agent]:
-        """Return a client of each agent, not connected yet: each holds a connection of its own."""
+        """Return a new client, not yet connected, for each agent."""
         return [
             Agent.of(self._conf, address, self._network, self._asker)
             for address in self._conf.agents
@@ -40,9 +40,9 @@
         mode: str,
         limit_s: float,
     ) -> tuple[CatalogueAnswer, tuple]:
-        """Return an agent's answer, and a digest that is the same for the same news.
+        """Return an agent's answer, and a digest that is equal for equal answers.
 
-        Raise BadAnswerError if the answer cannot be used, AgentError if there is none in `limit_s`.
+        Raise BadAnswerError if the answer is invalid, AgentError if none arrives within `limit_s`.
         """
         asked_us = now_us()
         with trio.move_on_after(limit_s) as scope:
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -1,10 +1,11 @@
-"""Watches a service through Consul's agents, and notifies the core and the connection pools.
-
-`follow` agents are watched at once, each by a blocking query of its own; whichever answers first is
-heard, and what their answers mean together is decided in mothnotch/decisions/leaf_membership/. When
-that is in doubt, every agent is asked for a consistent answer. When every agent fails, the core is
-notified (WatchEventKind.FAILED) and the module's Subscribe says when to ask again. Bounds: `follow`
-+ one request an agent at a time, an answer's bytes, 10,000 instances.
+"""Watch a service through Consul's agents, and notify the core and the connection pools.
+
+`follow` agents are watched at the same time, each by blocking queries of its own. The first answer
+to arrive is used; `mothnotch.decisions.leaf_membership` merges the answers of all agents into one
+list. When an answer is in doubt, every agent is sent a consistent query. When every agent fails,
+the core is notified (WatchEventKind.FAILED) and the module's Subscribe determines when to query
+again. Bounds: `follow` + 1 requests at a time to one agent, the size of an answer, and the
+membership's maximum number of instances.
 """
 
 from collections.abc import Callable
@@ -22,16 +23,19 @@
 from mothnotch.decisions.poll_policy import PollPolicy
 from mothnotch.root.core import now_us
 
-# The module's Subscribe is awaited no longer: a module that has none must not stop the asking.
+# The longest wait for the module's Subscribe: a module that sends none must not stop the polling.
 SUBSCRIBE_LIMIT_S = 30.0
-# Decisions that wait for time to pass are looked at so often at least.
+# The longest interval between checks of decisions that depend on time.
 TICK_S = 1.0
-# The list goes to disk no oftener: a save costs an fsync.
+# The shortest interval between two saves of the list, as each costs an fsync.
 SAVE_INTERVAL_S = 1.0
 
 
 class ConsulWatch:
-    """The watch of one service; `entries`, `kind` and `version` are of the list published last."""
+    """The watch of one service.
+
+    `entries`, `kind` and `version` are those of the last published list.
+    """
 
     def __init__(
         self,
@@ -45,9 +49,10 @@
         store,
         random: Callable[[], float],
     ):
-        """Watch for root `me`, which is notified through `core` and its pools `leaves`.
+        """Watch for root `me` and notify its `core` and its connection pools `leaves`.
 
-        `conf`: ConsulConfig; `store`: EndpointCache or None; `random()`: numbers from 0 to 1.
+        `conf` is a ConsulConfig, `store` an EndpointCache or None. `random()` returns numbers from
+        0 to 1.
         """
         self.conf = conf
         self.me = me
@@ -68,21 +73,24 @@
         self._cache = None
         if store is not None:
             self._cache = ListCache(store, conf.held_most_s, network, log)
-        # By watch: whether its last query was answered.
+        # For each watch: whether its last query was answered.
         self._answering = [False] * min(conf.follow, len(conf.agents))
-        # The module was notified of a failure since the last list.
+        # Whether the module was notified of a failure since the last list.
         self._failure_notified = False
-        # The module's next Subscribe, if a failure was reported for it.
+        # The Subscribe that the last reported failure awaits.
         self._reported_subscribe = None
-        # Of the answer merged last.
+        # The digest of the last merged answer.
         self._digest = None
-        # Set by a list that is to be saved.
+        # Set when there is a list to save.
         self._changed = trio.Event()
-        # Set by the first list that an agent's answer gave.
+        # Set when the first list from an agent's answer is published.
         self._live_list = trio.Event()
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; started once there is a list, or `first_s` passed without one."""
+        """Run until cancelled.
+
+        The task reports that it has started once there is a list, or after `first_s` without one.
+        """
         if self._cache is not None and await self._cache.restore(self.membership):
             self.publish()
         async with trio.open_nursery() as nursery:
@@ -98,7 +106,7 @@
             task_status.started()
 
     def publish(self) -> None:
-        """Notify pools and module, if there is anything new."""
+        """Log the pending lines, and notify the pools and the module if the list has changed."""
         membership = self.membership
         for note in membership.notes:
             getattr(self.log, note.level)(note.text, **note.details)
@@ -112,12 +120,12 @@
             return
         if recovered:
             self._failure_notified = False
-            self.log.info("agents answer again")
+            self.log.info("an agent answers again")
         self.entries = entries
         self.kind = kind
         self.version += 1
-        # The pools first: what the module decided before the event and has not been sent is
-        # withdrawn there.
+        # The pools come first: they withdraw attempts that the module decided on before the event
+        # and that have not been sent.
         not_up = {entry.server for entry in entries if entry.state != "up"}
         self.leaves.follow(membership.addresses(), not_up)
         self.core.on_watch_event(WatchEvent(kind, self.version, entries))
@@ -133,10 +141,10 @@
         if membership.is_live:
             self._live_list.set()
 
-    # ---- watching ----
+    # ---- polling ----
 
     async def _watch(self, watch):
-        """Ask blocking queries, one after the other, for as long as the root runs."""
+        """Send blocking queries, one after the other, until cancelled."""
         agents = self._query.agents()
         polling = PollPolicy(len(agents), self.me + watch, self.conf.wait_s, self.random)
         followed_agent = None
@@ -171,7 +179,7 @@
     def _on_failure(self, watch, error, agent_number):
         if self._answering[watch]:
             self.log.warning(
-                "an agent failed; the next one is asked",
+                "an agent failed; the next one is queried",
                 agent=self.conf.agents[agent_number],
                 error=str(error),
             )
@@ -180,12 +188,15 @@
             self.membership.on_agent_failure(now_us())
 
     async def _await_subscribe(self):
-        """Notify the module that every agent failed, and wait until it says to ask again."""
+        """Notify the module that every agent failed, and wait for its Subscribe."""
         if not any(self._answering) and not self._failure_notified:
-            self.log.error("no agent answers; the last list stays", leaves=len(self.entries or ()))
+            self.log.error(
+                "no agent answers; the previous list is kept", leaves=len(self.entries or ())
+            )
             self._failure_notified = True
-        # One report a Subscribe: the module answers each, and each answer wakes every watch, so
-        # that two watches that reported for themselves would double their asking with every round.
+        # At most one report for each Subscribe: the module answers every report, and each answer
+        # wakes every watch, so that two watches that both reported would double the number of
+        # queries with each round.
         subscribe = self.core.subscribe
         if self._reported_subscribe is not subscribe:
             self._reported_subscribe = subscribe
@@ -196,7 +207,7 @@
     def _on_answer(self, answer, digest):
         is_same = digest == self._digest
         if is_same and not self._failure_notified and not self.membership.is_blind:
-            # A wait that ran out with nothing new.
+            # The blocking query timed out without a change.
             return
         if self.membership.on_answer(now_us(), self.network.wall(), answer):
             self._digest = digest
@@ -206,11 +217,11 @@
 
     def _on_round(self, is_resolved):
         if is_resolved:
-            # What the watches answer next counts again, also if it is what they answered before.
+            # The next answer is merged even if it equals the last one before the doubt.
             self._digest = None
         self.publish()
 
-    # ---- time and disk ----
+    # ---- timers and disk ----
 
     async def _keep_time(self):
         while True:
--- a/mothnotch/store/__init__.py
+++ b/mothnotch/store/__init__.py
@@ -1,1 +1,1 @@
-"""What outlives a root's process."""
+"""Data on disk that is kept across restarts of a root."""
--- a/mothnotch/store/endpoint_cache.py
+++ b/mothnotch/store/endpoint_cache.py
@@ -1,9 +1,9 @@
-"""The last good list of leaves, cached on disk for a root that starts while no agent answers.
+"""The last valid list of leaves, cached on disk for a root that starts while no agent answers.
 
-SQLite in one file, as docs/consul.md weighs it; on top, each list carries a checksum of its own,
-since SQLite does not notice every damage to a page. The two newest lists are kept: a torn newest
-one leaves the one before. A file that cannot be used is set aside under `.broken`, never deleted,
-and never stops a start.
+The lists are stored in one SQLite file; docs/consul.md gives the reasons for SQLite. Each list has
+a checksum of its own, since SQLite does not detect all damage to a page. The two newest lists are
+kept, so that the previous one is left if the newest one is torn. A file that cannot be used is
+renamed to `.broken`, never deleted, and never prevents a start.
 """
 
 import hashlib
@@ -16,29 +16,29 @@
 
 from mothnotch.decisions.leaf_membership.catalogue_answers import CachedLeaf
 
-# Newest lists kept: one may be torn by a crash, the other is whole.
+# The number of newest lists kept: a crash may tear one, and the other stays intact.
 KEPT_LISTS = 2
-# A lock of another process on the file is awaited so long.
+# How long to wait for another process's lock on the file.
 BUSY_TIMEOUT_S = 2.0
 CHECKSUM_BYTES = 16
-# What a damaged file makes of a call.
+# The errors that a call raises on a damaged file.
 DAMAGE_ERRORS = (sqlite3.DatabaseError, UnicodeDecodeError, OverflowError)
-# Part of the fingerprint: a list of another format is not read.
+# The format version, part of the fingerprint: lists of another version are not read.
 FORMAT = 1
 
-# Names of the table and its columns hold for all releases: one reads what another wrote.
+# The names of the table and its columns must not change: releases read each other's files.
 _CREATE_TABLE = (
     "CREATE TABLE IF NOT EXISTS lists (n INTEGER PRIMARY KEY, saved REAL NOT NULL, "
     "of TEXT NOT NULL, at INTEGER NOT NULL, body BLOB NOT NULL, sum BLOB NOT NULL)"
 )
 _INSERT = "INSERT INTO lists (saved, of, at, body, sum) VALUES (?, ?, ?, ?, ?)"
-# Where the wall clock went back, the number still tells the order.
+# Ordered by number, which stays correct when the wall clock is set back.
 _DELETE_OLD = "DELETE FROM lists WHERE n <= (SELECT max(n) FROM lists) - ?"
 _SELECT = "SELECT saved, of, at, body, sum FROM lists ORDER BY n DESC"
 
 
 class StoredLeaf(msgspec.Struct):
-    """A leaf as the file has it: these keys, in this order, hold for all releases."""
+    """A leaf as stored in the file; the keys and their order are the same in all releases."""
 
     name: str
     address: str
@@ -52,25 +52,25 @@
 
 
 def encode(leaves: Iterable[CachedLeaf]) -> bytes:
-    """Return the body of a list."""
+    """Return a list of leaves encoded as the body of a row."""
     return msgspec.json.encode([_to_stored(leaf) for leaf in leaves])
 
 
 def decode(body: bytes) -> list[CachedLeaf]:
-    """Return the leaves of a body; raise msgspec.MsgspecError if it is none."""
+    """Return the leaves in a body; raise msgspec.MsgspecError if it is invalid."""
     return [_from_stored(leaf) for leaf in msgspec.json.decode(body, type=list[StoredLeaf])]
 
 
 class EndpointCache:
-    """One file with the newest lists of one service. Calls block: they are made in a thread."""
+    """A file with the newest lists of one service; its methods block, so call them in a thread."""
 
     def __init__(self, path: str | os.PathLike, fingerprint: str):
-        """Use the file at `path`; a list whose fingerprint is another's is not read."""
+        """Use the file at `path`, and ignore lists with another fingerprint."""
         self.path = str(path)
         self._fingerprint = f"{FORMAT} {fingerprint}"
 
     def save(self, leaves: Iterable[CachedLeaf], index: int, saved_s: float) -> None:
-        """Write a list; `saved_s` in seconds of the wall clock. Raise OSError if it cannot be."""
+        """Write a list saved at `saved_s` (wall clock, seconds); raise OSError if that fails."""
         body = encode(leaves)
         checksum = self._checksum(saved_s, index, body)
         try:
@@ -81,14 +81,15 @@
                 database.execute("COMMIT")
         except DAMAGE_ERRORS as error:
             if not isinstance(error, sqlite3.OperationalError):
-                # Damaged: the next save begins anew.
+                # The file is damaged: the next save creates a new one.
                 self._set_aside()
             raise OSError(f"{self.path}: {error}") from None
 
     def load(self) -> tuple[list[CachedLeaf] | None, int, float, str]:
-        """Return (leaves, index, when it was saved, what was wrong) of the newest whole list.
+        """Return (leaves, index, saved_s, problem) of the newest intact list.
 
-        The time is in seconds of the wall clock; leaves is None if there is no list.
+        `saved_s` is in seconds of the wall clock; `problem` describes any damage found, or is
+        empty. The leaves are None if there is no list.
         """
         if not os.path.exists(self.path):
             return None, 0, 0.0, ""
@@ -97,15 +98,15 @@
                 rows = database.execute(_SELECT).fetchall()
         except DAMAGE_ERRORS as error:
             self._set_aside()
-            return None, 0, 0.0, f"{error}; set aside as {self.path}.broken"
+            return None, 0, 0.0, f"{error}; the file was renamed to {self.path}.broken"
         wrong = ""
         for saved_s, fingerprint, index, body, checksum in rows:
             if fingerprint != self._fingerprint:
                 wrong = wrong or (
-                    f"a list of {fingerprint!r}, not of {self._fingerprint!r}; left alone"
+                    f"a list of {fingerprint!r} instead of {self._fingerprint!r} is ignored"
                 )
             elif not isinstance(body, bytes) or checksum != self._checksum(saved_s, index, body):
-                wrong = "a list whose checksum is wrong; the one before it is tried"
+                wrong = "a list has a wrong checksum; the previous one is tried"
             else:
                 return decode(body), index, saved_s, wrong
         return None, 0, 0.0, wrong
