--- a/mothnotch/decisions/fleet/__init__.py
+++ b/mothnotch/decisions/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the roots of a fleet decide together. No I/O, no clock, the standard library only."""
+"""Membership and gossip of a fleet of roots. No I/O, no clock, the standard library only."""
--- a/mothnotch/decisions/fleet/divergence.py
+++ b/mothnotch/decisions/fleet/divergence.py
@@ -1,6 +1,6 @@
-"""Whether roots agree on one another, from what each says it believes.
+"""Detects divergence between the membership views of several roots.
 
-Pure. A view has `name`, `incarnation` and `peers`, each of which has `name`, `incarnation` and
+Pure. A view has `name`, `incarnation` and `peers`, and each peer has `name`, `incarnation` and
 `state`.
 """
 
@@ -8,14 +8,16 @@
 
 
 def disagreements(views: list) -> list[str]:
-    """Return a line for each disagreement: roots that miss each other, hold one for something else
-    than it is, or run under one name.
+    """Return a line for each disagreement between views.
+
+    Disagreements are a missing root, a wrong incarnation or state, different states of a root that
+    does not answer, and several roots with the same name.
     """
     incarnations = {}
     for view in views:
         incarnations.setdefault(view.name, []).append(view.incarnation)
     out = [
-        f"{len(found)} roots run under the name {name}"
+        f"{len(found)} roots use the name {name}"
         for name, found in sorted(incarnations.items())
         if len(found) > 1
     ]
@@ -26,7 +28,7 @@
 
 
 def _wrong_beliefs(view, newest: dict[str, tuple[int, int]]) -> list[str]:
-    """Return where a view differs from what the roots that answered are."""
+    """Return where a view is wrong about roots that answered."""
     out = []
     held = {peer.name: peer for peer in view.peers}
     for name, incarnation in sorted(newest.items()):
@@ -34,19 +36,19 @@
             continue
         peer = held.get(name)
         if peer is None:
-            out.append(f"{view.name} does not know {name}, which answers")
+            out.append(f"{view.name} has no entry for {name}, which answers")
         elif peer.incarnation != incarnation:
             out.append(
-                f"{view.name} holds {name} in life {peer.incarnation[0]}, "
-                f"and it is in {incarnation[0]}"
+                f"{view.name} believes that {name} is in incarnation {peer.incarnation[0]}, "
+                f"but it is in {incarnation[0]}"
             )
         elif peer.state != ALIVE:
-            out.append(f"{view.name} holds {name} for {peer.state}, and it answers")
+            out.append(f"{view.name} believes that {name} is {peer.state}, but it answers")
     return out
 
 
 def _divided_on_silent(views: list, newest: dict[str, tuple[int, int]]) -> list[str]:
-    """Return where views differ on roots that did not answer: what is true of them is not known."""
+    """Return where views differ on roots that did not answer and whose true state is unknown."""
     out = []
     silent = {peer.name for view in views for peer in view.peers} - set(newest)
     for name in sorted(silent):
@@ -55,6 +57,8 @@
             for view in views
         }
         if len(set(said.values())) > 1:
-            each = ", ".join(f"{who} holds it for {state}" for who, state in sorted(said.items()))
+            each = ", ".join(
+                f"{who} believes that it is {state}" for who, state in sorted(said.items())
+            )
             out.append(f"{name} does not answer: {each}")
     return out
--- a/mothnotch/decisions/fleet/failure_detector.py
+++ b/mothnotch/decisions/fleet/failure_detector.py
@@ -1,13 +1,13 @@
-"""SWIM's failure detector: a probe a period, helpers asked if it is not answered, then a suspicion.
+"""SWIM's failure detector: one probe per period, indirect probes without an ack, then suspicion.
 
-Pure: answers and the clock come in, messages to be sent and suspicions go out. Times are
+Pure: acks and the time are inputs, messages to send and suspicions are outputs. Times are
 microseconds on the root's own monotonic clock.
 
-- No probe is lost on a root that has been heard since the probe began: the answer was lost, not its
-  sender.
-- Helpers that say nothing at all, not even that they got no answer, speak against this root's own
-  links (Lifeguard).
-- A root that doubts itself makes no suspicion.
+- A probe does not fail if any message from the member was received after the probe started: then
+  the ack was lost, and the member is alive.
+- A helper, which is a member asked to probe indirectly, sends a nack if it gets no ack. If the nack
+  is missing too, the fault is more likely on this root's own links (Lifeguard).
+- A root that is recovering from a pause suspects nobody.
 
 Bounds: one probe at a time with `indirect_probes` helpers; `max_members` probes relayed for others.
 """
@@ -34,13 +34,13 @@
     SwimSettings,
 )
 
-# A helper waits for so much of an answer's time: its nack has to come before the asker's period
-# ends, or the asker holds the helper for mute and doubts itself.
+# The part of the ack timeout that a helper waits: its nack has to arrive before the requester's
+# period ends, or the requester counts the nack as missing and lowers its own local health.
 RELAY_WAIT_FRACTION = 0.8
 
 
 class Probe:
-    """A probe of one member. `helpers` is None until they are asked."""
+    """A probe of one member. `helpers` is None until indirect probes are requested."""
 
     __slots__ = (
         "name",
@@ -54,7 +54,7 @@
     )
 
     def __init__(self, name: str, number: int, began_us: int, answer_due_us: int, ends_us: int):
-        """Begin a probe; `number` is its ping's, `ends_us` when it is lost."""
+        """Start a probe; `number` is the number of its ping, `ends_us` is when it fails."""
         self.name = name
         self.number = number
         self.began_us = began_us
@@ -67,7 +67,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Relay:
-    """A probe made for another root: who asked, under which number, whom, and until when."""
+    """A ping sent on behalf of another root, which is told of the ack, or of its absence."""
 
     asker_address: str
     asker_number: int
@@ -76,7 +76,7 @@
 
 
 class FailureDetector:
-    """One root's prober. `changes` and `counts` are shared with the root's other parts."""
+    """Probes the members of one root's table. `changes` and `counts` are shared with `SwimNode`."""
 
     def __init__(
         self,
@@ -89,7 +89,7 @@
         changes: deque[MembershipChange],
         counts: dict[str, int],
     ):
-        """Join the root's table, health and messages; `random` is a random.Random."""
+        """Create a detector without a probe in progress; `random` is a random.Random."""
         self.settings = settings
         self.probe = None
         self._membership = membership
@@ -102,10 +102,10 @@
         self._relays = {}  # number of the relayed ping -> Relay
         self._number = 0
 
-    # ---- time ----
+    # ---- timers ----
 
     def due_times_us(self) -> list[float]:
-        """Return when something is due, if nothing is heard before."""
+        """Return the times of the next timeouts of the probe and of relayed pings."""
         found = [relay.ends_us for relay in self._relays.values()]
         probe = self.probe
         if probe is not None and not probe.is_answered:
@@ -113,16 +113,16 @@
         return found
 
     def next_number(self) -> int:
-        """Return the number of the next message that is to be answered."""
+        """Return a new number for a message that expects an answer."""
         self._number += 1
         return self._number
 
     def abandon_probe(self) -> None:
-        """Hold the probe under way against nobody."""
+        """Discard the probe in progress without a result."""
         self.probe = None
 
     def expire_relays(self, now_us: int, out: list[Send]) -> None:
-        """Tell those that asked for a probe that was not answered in time."""
+        """Send a nack for each relayed ping that was not acked in time."""
         for number, relay in list(self._relays.items()):
             if relay.ends_us <= now_us:
                 del self._relays[number]
@@ -133,7 +133,7 @@
                 )
 
     def start_probe(self, now_us: int, out: list[Send]) -> None:
-        """Probe the next member, unless the last probe is still under way."""
+        """Probe the next member, unless the last probe is still in progress."""
         members = self._membership.members
         self._probe_order.refill(members)
         if self.probe is not None and not self.probe.is_answered:
@@ -153,7 +153,7 @@
         out.append(self._builder.build(now_us, address, PING, name, self.probe.number))
 
     def reprobe_suspects(self, now_us: int, out: list[Send]) -> None:
-        """Ask suspects again, a few of them: their refutation may have been lost."""
+        """Ping a few random suspects again, because their refutation may have been lost."""
         suspects = self._membership.in_state(SUSPECT)
         count = min(self.settings.suspects_reprobed, len(suspects))
         for name in self._random.sample(suspects, count):
@@ -161,7 +161,7 @@
             out.append(self._builder.build(now_us, address, PING, name, self.next_number()))
 
     def check_probe(self, now_us: int, out: list[Send]) -> None:
-        """Ask helpers if the answer is overdue, and end the probe if its period is over."""
+        """Request indirect probes if the ack is overdue, and end the probe with its period."""
         probe = self.probe
         if probe is None or probe.is_answered or now_us < probe.answer_due_us:
             return
@@ -175,7 +175,7 @@
         if now_us >= probe.ends_us:
             self.probe = None
             if member.heard_us is not None and member.heard_us > probe.began_us:
-                self._record_outcome(True)  # the answer was lost, not its sender
+                self._record_outcome(True)  # the ack was lost, but the member is alive
             else:
                 self._fail(probe, member, now_us)
 
@@ -193,7 +193,7 @@
             )
 
     def _fail(self, probe: Probe, member: Member, now_us: int) -> None:
-        """End a probe that nobody answered: suspect the member, unless this root doubts itself."""
+        """Record a failed probe and suspect the member, unless this root is recovering."""
         self._counts["failed"] += 1
         self._record_outcome(False)
         mute = len(probe.helpers) - len(probe.nacks)
@@ -210,11 +210,11 @@
     # ---- messages ----
 
     def on_ping(self, now_us: int, address: str, message: Message, out: list[Send]) -> None:
-        """Answer a probe."""
+        """Ack a ping."""
         out.append(self._builder.build(now_us, address, ACK, message.sender.name, message.number))
 
     def on_ack(self, now_us: int, address: str, message: Message, out: list[Send]) -> None:
-        """Take an answer: to a probe of this root's, or to one that it made for another."""
+        """Process an ack of this root's own probe, or of a ping that it relayed for another."""
         sender = message.sender.name
         relay = self._relays.get(message.number)
         if relay is not None and relay.target == sender:
@@ -240,11 +240,11 @@
             member.is_direct = True
         self._record_outcome(True)
         if member is not None and sender != name and member.claim.state == SUSPECT:
-            # Others reach it: its refutation is on its way.
+            # A helper reaches the suspect, so its refutation should arrive soon.
             member.ends_us = max(member.ends_us, now_us + self._membership.min_suspicion_us())
 
     def on_ping_request(self, now_us: int, address: str, message: Message, out: list[Send]) -> None:
-        """Probe a root for another one."""
+        """Ping the target on behalf of the sender."""
         if len(self._relays) >= self.settings.max_members or not message.address:
             return
         number = self.next_number()
@@ -253,7 +253,7 @@
         out.append(self._builder.build(now_us, message.address, PING, message.target, number))
 
     def on_nack(self, now_us: int, address: str, message: Message, out: list[Send]) -> None:
-        """Take a helper's message that it got no answer: its own links are sound."""
+        """Record a helper's nack: the helper is reachable, but got no ack from the target."""
         probe = self.probe
         if probe is None or probe.number != message.number or not probe.helpers:
             return
--- a/mothnotch/decisions/fleet/gossip_messages.py
+++ b/mothnotch/decisions/fleet/gossip_messages.py
@@ -1,15 +1,15 @@
-"""What roots exchange besides claims: facts, digests of what is held, and full states."""
+"""Gossip messages besides claims: facts, digests of the stored facts, and full states."""
 
 from dataclasses import dataclass
 
 from mothnotch.decisions.fleet.swim_messages import Claim, Message
 
-FACT_OVERHEAD_BYTES = 40  # of a message, about, besides the origin, the key and the value
+FACT_OVERHEAD_BYTES = 40  # estimated encoded size without the origin, the key and the value
 
 
 @dataclass(slots=True, frozen=True)
 class Fact:
-    """A versioned fact as it travels: `age_us` at the time of sending; it counts until `ttl_us`."""
+    """A versioned fact in a message. `age_us` is its age when sent; it expires at age `ttl_us`."""
 
     origin: str
     incarnation: tuple[int, int]
@@ -21,13 +21,13 @@
 
     @property
     def size(self) -> int:
-        """Return about how many bytes it takes of a message."""
+        """Return the estimated encoded size, bytes."""
         return FACT_OVERHEAD_BYTES + len(self.origin) + len(self.key) + len(self.value)
 
 
 @dataclass(slots=True, frozen=True)
 class KnownFact:
-    """A fact as it is read: a value, whose, and how old it is at most."""
+    """A fact as returned to readers; `age_us` is an upper bound on its age."""
 
     origin: str
     incarnation: tuple[int, int]
@@ -38,8 +38,10 @@
 
 @dataclass(slots=True, frozen=True)
 class DigestEntry:
-    """What is held of an origin: its incarnation, the highest version, and a checksum over all keys
-    and versions.
+    """A summary of the facts stored for one origin.
+
+    It holds the origin's incarnation, the highest version, and a checksum over all keys and
+    versions.
     """
 
     origin: str
@@ -50,10 +52,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Envelope:
-    """A message of the membership with facts and digests.
+    """A membership message with facts and digests.
 
-    `digest` is to be answered; `wanted`: what the sender has of origins of which it lacks
-    something.
+    `digest` asks the receiver to reconcile. `wanted` summarizes origins of which the sender lacks
+    facts, and asks the receiver to send them.
     """
 
     message: Message
@@ -64,7 +66,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SendEnvelope:
-    """An envelope that is to be sent to an address."""
+    """An envelope to send to an address."""
 
     address: str
     envelope: Envelope
@@ -72,8 +74,10 @@
 
 @dataclass(slots=True, frozen=True)
 class FullState:
-    """All that a root holds. `stamp`: its clock now; `answers`: the receiver's stamp that this
-    answers, 0 for none.
+    """All claims and facts of a root.
+
+    `stamp` is the sender's clock. `answers` is the receiver's stamp that this message answers, 0
+    for none.
     """
 
     sender: Claim
--- a/mothnotch/decisions/fleet/gossip_protocol.py
+++ b/mothnotch/decisions/fleet/gossip_protocol.py
@@ -1,18 +1,17 @@
-"""What a root exchanges with the others: the membership's messages with facts and digests, and full
-states.
+"""One root's gossip: membership messages that carry facts and digests, and full state sync.
 
-Pure, as swim_node.py and gossip_store.py, which it joins: envelopes and the clock in, envelopes
-out. A fact is taken with the bound on its message's age; the incarnations that the membership knows
-count before those that facts state.
+Pure, like swim_node.py and gossip_store.py, which it combines: envelopes and the time are inputs,
+envelopes are outputs. The time in transit bounds the age of received facts. Incarnations known to
+the membership take precedence over those stated in facts.
 
-Where small pieces will not do, two roots exchange all they hold (FullState, as memberlist's push
-and pull): when a root has found its first peer, when it was isolated or paused, and every
-`full_sync_interval_us`. Such a message answers a stamp of its receiver's, had a moment ago, so its
-facts have ages like any others, and a recorded one says nothing twice.
+Two roots also exchange all claims and facts (`FullState`, like memberlist's push/pull): when a root
+has found its first peer, after it was isolated or paused, and every `full_sync_interval_us`. A full
+state answers a recent stamp of its receiver, which bounds the ages of its facts and makes a
+replayed message ineffective.
 
-Bounds: `fact_bytes` of facts an envelope, one digest a `digest_interval_us`; a digest is answered
-by two envelopes at most; a full state holds as much as the tables, and one is asked for at a time,
-`full_sync_retry_us` after one that failed.
+Bounds: `fact_bytes` of facts per envelope, one digest per `digest_interval_us`, at most two
+envelopes in answer to a digest. A full state is at most as large as the tables. One sync is
+requested at a time, and after a failure the next one follows `full_sync_retry_us` later.
 """
 
 import math
@@ -23,35 +22,34 @@
 from mothnotch.decisions.fleet.swim_messages import ALIVE, GOSSIP, Send, age_bound_us
 from mothnotch.decisions.fleet.swim_node import SwimNode
 
-# Up to so many peers full states are exchanged at the stated interval; beyond, less often, since
-# each holds more.
+# With more peers, full states are exchanged less often, because each one is larger.
 PEERS_AT_FULL_RATE = 30
 
 
 @dataclass(slots=True, frozen=True)
 class GossipSettings:
-    """Bounds of what is sent and looked at. Times in microseconds."""
+    """Bounds of what is sent and processed. Times are in microseconds."""
 
-    # Of facts in an envelope; the rest of a datagram is the claims'.
+    # For facts in an envelope; the rest of a datagram is left for claims.
     fact_bytes: int = 700
     digest_interval_us: int = 1_000_000
-    # Of an envelope that came; more are not looked at.
+    # Processed from a received envelope; the rest is ignored.
     max_digest_entries: int = 16
     max_facts: int = 64
-    # Between exchanges of full states, at 30 roots; longer as the fleet grows.
+    # Between exchanges of full states with up to 30 peers; longer in larger fleets.
     full_sync_interval_us: int = 30_000_000
     full_sync_retry_us: int = 2_000_000
-    # Of a full state that came; more are not looked at.
+    # Processed from a received full state; the rest is ignored.
     max_full_sync_facts: int = 16_384
 
 
 class GossipProtocol:
-    """One root's side. `due_us` is when `tick` has to come at the latest."""
+    """One root's side of the protocol. `tick` has to be called at `due_us` at the latest."""
 
     def __init__(
         self, swim: SwimNode, store: GossipStore, settings: GossipSettings, random, now_us: int
     ):
-        """Join a membership and a store; `random` is a random.Random."""
+        """Combine a SWIM node and a store; `random` is a random.Random."""
         self.swim = swim
         self.store = store
         self.settings = settings
@@ -60,18 +58,18 @@
         self._next_digest_us = now_us
         self._incarnation = swim.membership.own_claim.incarnation
         self._next_full_sync_us = now_us
-        # Whether to exchange full states as soon as there is somebody sound to do it with.
+        # Whether to exchange full states as soon as a member is alive and this root is healthy.
         self._needs_full_sync = True
 
-    # ---- time ----
+    # ---- timers ----
 
     def due_us(self) -> float:
-        """Return when `tick` has to come, if nothing is heard before."""
+        """Return when `tick` has to be called unless an envelope arrives before."""
         has_members = bool(self.swim.membership.members)
         return min(self.swim.due_us(), self._next_digest_us if has_members else math.inf)
 
     def tick(self, now_us: int) -> list[SendEnvelope]:
-        """Do what is due by now; return what is to be sent."""
+        """Do everything that is due; return the envelopes to send."""
         out = self._with_facts(self.swim.tick(now_us), now_us)
         self.store.expire(now_us)
         if now_us >= self._next_digest_us:
@@ -85,14 +83,14 @@
     # ---- datagrams ----
 
     def on_envelope(self, now_us: int, address: str, envelope: Envelope) -> list[SendEnvelope]:
-        """Take what came from an address; return what is to be sent."""
+        """Process an envelope from an address; return the envelopes to send."""
         message = envelope.message
         sender = message.sender
         transit_us = age_bound_us(message, now_us)
         out = self._with_facts(self.swim.on_message(now_us, address, message), now_us)
         member = self.swim.membership.members.get(sender.name)
         if member is None or member.claim.incarnation != sender.incarnation:
-            return out  # not one this root speaks with, or an old incarnation of it
+            return out  # an unknown member, or an old incarnation of one
         self.store.on_incarnation(sender.name, sender.incarnation)
         if envelope.facts:
             facts = envelope.facts[: self.settings.max_facts]
@@ -112,16 +110,16 @@
         return out
 
     def _gossip(self, name: str, now_us: int, **more) -> SendEnvelope:
-        """Return an envelope to a member with facts or a digest, for which there is no probe."""
+        """Return an envelope that carries facts or a digest to a member outside of any probe."""
         address = self.swim.membership.members[name].claim.address
         send = self.swim.builder.build(now_us, address, GOSSIP, name, 0)
         return SendEnvelope(send.address, Envelope(send.message, **more))
 
     def _with_facts(self, sends: list[Send], now_us: int) -> list[SendEnvelope]:
-        """Return the membership's messages with facts that are still to be passed on.
+        """Return envelopes of the membership's messages with queued facts.
 
-        When the membership takes another incarnation, so do the facts. A message without an echo
-        brings none: nothing would bound their age.
+        This root's own facts follow when the membership adopts a new incarnation. A message without
+        an echo carries no facts, because nothing would bound their age.
         """
         incarnation = self.swim.membership.own_claim.incarnation
         if self._incarnation != incarnation:
@@ -136,18 +134,18 @@
             out.append(SendEnvelope(send.address, Envelope(send.message, facts)))
         return out
 
-    # ---- full states ----
+    # ---- full state sync ----
 
     def take_sync_partner(self, now_us: int) -> tuple[str, str] | None:
         """Return (name, address) of the root to exchange full states with now, or None.
 
-        Taking one sets when the next exchange is due.
+        Choosing a partner schedules the next exchange.
         """
         others = self.swim.membership.in_state(ALIVE)
         health = self.swim.health
         if not others or health.is_isolated or health.is_doubtful:
-            # Whoever is found next may know what this root has missed; while its links are in
-            # doubt it asks nobody, and once they are not, at once.
+            # This root may have missed updates, so it syncs as soon as it has an alive member and
+            # is neither isolated nor recovering.
             self._needs_full_sync = True
             return None
         if not self._needs_full_sync and now_us < self._next_full_sync_us:
@@ -159,14 +157,14 @@
         return name, self.swim.membership.members[name].claim.address
 
     def on_sync_failed(self, now_us: int) -> None:
-        """Take that the exchange asked for came to nothing: ask again soon."""
+        """Schedule an early retry after a failed exchange."""
         retry_us = now_us + self.settings.full_sync_retry_us
         self._next_full_sync_us = min(self._next_full_sync_us, retry_us)
 
     def full_state(self, now_us: int, answers: int = 0) -> FullState:
-        """Return all that this root holds, in answer to a stamp.
+        """Return all claims and facts of this root, in answer to a stamp.
 
-        Without one there are no facts: nothing would bound their age.
+        Without a stamp to answer, facts are left out, because nothing would bound their age.
         """
         facts = self.store.live_facts(now_us) if answers else ()
         membership = self.swim.membership
@@ -174,7 +172,10 @@
         return FullState(membership.own_claim, now_us, answers, claims, facts)
 
     def merge_full_state(self, now_us: int, state: FullState) -> bool:
-        """Take a full state; return False for one of an old incarnation, or of this root's name."""
+        """Merge a received full state; return whether it was accepted.
+
+        It is rejected if its sender is not alive, has an old incarnation or has this root's name.
+        """
         membership = self.swim.membership
         sender = state.sender
         known = membership.incarnation_of(sender.name)
--- a/mothnotch/decisions/fleet/gossip_store.py
+++ b/mothnotch/decisions/fleet/gossip_store.py
@@ -1,23 +1,23 @@
-"""Small versioned facts that roots publish to each other: whose, of which incarnation, how old.
+"""A store of small versioned facts that roots publish and disseminate by gossip.
 
-Pure: what came and the clock go in, what is to be passed on comes out. Times are microseconds on
+Pure: received facts and the time are inputs, facts to send are outputs. Times are microseconds on
 the root's own monotonic clock.
 
-- A fact belongs to one incarnation of one origin (membership.py) and has that incarnation's next
-  version. Of one key the highest version counts; what is older, or of an older incarnation, changes
-  nothing. Two incarnations never mix: with a newer one's first fact, or when the membership knows
-  of it, all facts of the older one are forgotten.
-- Its age is a bound from above, and no wall clock has a part in it: what the sender says its age
-  is, plus how long the message can have been on its way at most (the echo of the receiver's own
-  stamp), plus the time since, lengthened by `clock_drift`. A message without that bound brings no
-  fact. Of the same version had twice, the lesser bound stands.
-- Past its time to live a fact counts for nothing and is no longer passed on.
-- New facts are piggybacked on messages so many times; digests of what is held, a slice at a time,
-  bring up what was lost (anti-entropy, Demers et al. 1987; scuttlebutt reconciliation, van Renesse
-  et al. 2008, for versions by origin).
-
-Bounds, each counted when it is met: those of GossipStoreSettings. Past them a new fact is not
-taken; nothing that is held is pushed out by it.
+- A fact belongs to one incarnation of its origin (membership.py). Each fact that the origin
+  publishes gets the incarnation's next version, and the highest version of a key takes precedence.
+  Facts of an older incarnation are rejected. Facts of two incarnations are never mixed: the older
+  ones are dropped on the first fact of the newer incarnation, or once the membership knows it.
+- A fact's age is an upper bound that needs no wall clock: the age stated by the sender, plus the
+  maximum time in transit (from the echo of the receiver's own stamp), plus the time since receipt,
+  the latter two extended by `clock_drift`. A fact without a bound on its time in transit is
+  rejected. If the same version is received again, the smaller bound is kept.
+- A fact that exceeds its time to live is no longer returned or sent.
+- New facts are piggybacked on a bounded number of messages. Digests of the store, one slice of
+  origins at a time, repair losses (anti-entropy, Demers et al. 1987; scuttlebutt reconciliation,
+  van Renesse et al. 2008, for versions by origin).
+
+Bounds: those of GossipStoreSettings. A fact beyond them is rejected and counted; it never evicts a
+stored fact.
 """
 
 import math
@@ -31,23 +31,23 @@
 
 @dataclass(slots=True, frozen=True)
 class GossipStoreSettings:
-    """Bounds of the store. Times in microseconds."""
+    """Bounds of the store. Times are in microseconds."""
 
     max_origins: int = 256
-    max_keys: int = 64  # an origin's
+    max_keys: int = 64  # per origin
     max_value_bytes: int = 256
     max_key_bytes: int = 64
     max_ttl_us: int = 600_000_000
-    # How much faster or slower one clock may run than another.
+    # The maximum relative difference between the rates of two clocks.
     clock_drift: float = 0.02
-    # A fact is piggybacked so many times log2 of the fleet.
+    # A fact is piggybacked this many times log2 of the fleet size.
     retransmit_multiple: float = 3.0
-    # Origins that a digest names.
+    # Origins in a digest.
     digest_origins: int = 16
 
 
 class Receipt(StrEnum):
-    """What became of a fact that came. The values are keys of `counts`."""
+    """The outcome of a received fact. The values are keys of `counts`."""
 
     TAKEN = "taken"
     OLD = "old"
@@ -61,29 +61,29 @@
 
 
 class GossipStore:
-    """What one root publishes and has heard."""
+    """Facts that one root has published or received."""
 
     def __init__(self, name: str, incarnation: tuple[int, int], settings: GossipStoreSettings):
-        """Start with no facts, for the root of that name and incarnation."""
+        """Create an empty store for the root with this name and incarnation."""
         self.name = name
         self.settings = settings
         self.origins = {name: OriginFacts(incarnation)}
         self.counts = {receipt.value: 0 for receipt in Receipt}
-        # (origin, key) -> StoredFact that is still piggybacked; at most as many as are held.
+        # (origin, key) -> StoredFact that is still to be piggybacked; a subset of the stored ones.
         self.updates = {}
-        self._digest_start = 0  # where the next slice of origins begins
+        self._digest_start = 0  # index of the first origin in the next digest's slice
 
     @property
     def own(self) -> OriginFacts:
         """Return this root's own facts."""
         return self.origins[self.name]
 
-    # ---- this root's own ----
+    # ---- publishing ----
 
     def publish(self, key: str, value: bytes, ttl_us: int, now_us: int) -> None:
-        """State a fact, or state it anew: with the next version.
+        """Publish a fact with the next version; it replaces an earlier one with its key.
 
-        Raise ValueError, which names the bound, if it does not keep one.
+        Raise ValueError, which names the bound, if a bound is exceeded.
         """
         bounds = self.settings
         if len(value) > bounds.max_value_bytes or not self._is_key(key):
@@ -102,7 +102,7 @@
         self.updates[self.name, key] = fact
 
     def set_own_incarnation(self, incarnation: tuple[int, int]) -> None:
-        """Go on under another incarnation: this root's facts are of that one from now on."""
+        """Move this root's own facts to a new incarnation and queue them again."""
         self.own.incarnation = incarnation
         for key, fact in self.own.by_key.items():
             fact.times_sent = 0
@@ -111,16 +111,16 @@
     def _is_key(self, key: str) -> bool:
         return 0 < len(key.encode()) <= self.settings.max_key_bytes
 
-    # ---- what comes ----
+    # ---- receiving ----
 
     def on_incarnation(self, origin: str, incarnation: tuple[int, int]) -> None:
-        """Forget facts of an older incarnation than the membership knows of."""
+        """Drop an origin's facts if they belong to an older incarnation than this one."""
         held = self.origins.get(origin)
         if held is not None and origin != self.name and held.incarnation < incarnation:
             self.forget(origin)
 
     def forget(self, origin: str) -> None:
-        """Forget all facts of another origin."""
+        """Drop all facts of another origin."""
         if origin != self.name and origin in self.origins:
             for key in self.origins.pop(origin).by_key:
                 self.updates.pop((origin, key), None)
@@ -132,10 +132,10 @@
         now_us: int,
         incarnation_of: Callable = lambda origin: None,
     ) -> None:
-        """Take facts that came with a message.
+        """Store facts that arrived in a message and count the outcome of each.
 
-        `transit_us`: how long it was on its way at most (None: nobody can tell); `incarnation_of`
-        gives the newest incarnation that the membership knows of a name.
+        `transit_us` is the message's maximum time in transit, None if it is unbounded.
+        `incarnation_of` returns the newest incarnation of a name that the membership knows.
         """
         if transit_us is None or transit_us < 0:
             self.counts[Receipt.UNBOUNDED] += len(facts)
@@ -180,10 +180,10 @@
         )
 
     def _receive_own(self, fact: Fact) -> Receipt:
-        """Say what a fact under this root's own name is; none is taken.
+        """Return the outcome of a received fact with this root's name, which is never stored.
 
-        Nobody else states facts of this incarnation: a version above the own is made up, or another
-        root has the name.
+        Only this process publishes facts of its incarnation. A higher version is therefore forged,
+        or comes from another root with the same name.
         """
         if fact.incarnation < self.own.incarnation:
             return Receipt.OLD_INCARNATION
@@ -192,7 +192,7 @@
         return Receipt.FUTURE
 
     def _put(self, held: OriginFacts, fact: Fact, age_us: int, now_us: int) -> Receipt:
-        """Hold a fact among its origin's, unless what is held of its key is as new."""
+        """Store a fact unless its key already has the same or a newer version."""
         stored = held.by_key.get(fact.key)
         if stored is not None and fact.version < stored.version:
             return Receipt.OLD
@@ -208,7 +208,7 @@
         self.updates[fact.origin, fact.key] = stored
         return Receipt.TAKEN
 
-    # ---- what is sent ----
+    # ---- sending ----
 
     def _to_fact(self, origin: str, key: str, stored: StoredFact, now_us: int) -> Fact:
         return Fact(
@@ -224,7 +224,7 @@
     def updates_to_piggyback(
         self, room_bytes: int, cluster_size: int, now_us: int
     ) -> tuple[Fact, ...]:
-        """Return facts to go with a message, those sent least often first, within a room."""
+        """Return queued facts of at most `room_bytes` for one message, least transmitted first."""
         multiple = self.settings.retransmit_multiple
         max_sends = max(1, math.ceil(multiple * math.log2(cluster_size + 1)))
         found = []
@@ -243,7 +243,7 @@
         return tuple(found)
 
     def digest(self) -> tuple[DigestEntry, ...]:
-        """Return entries of the next slice of origins, this root's own always among them."""
+        """Return entries for this root and for the next slice of other origins."""
         others = [name for name in self.origins if name != self.name]
         slice_size = self.settings.digest_origins - 1
         start = self._digest_start
@@ -259,11 +259,10 @@
     def missing(
         self, digest: Iterable[DigestEntry], room_bytes: int, now_us: int
     ) -> tuple[tuple[Fact, ...], tuple[DigestEntry, ...]]:
-        """Return what the sender of a digest misses, and what this root does.
+        """Return facts that the sender of a digest lacks, and entries where this root lacks some.
 
-        That is: facts that the sender lacks, within a room, and entries of this root where the
-        sender has more. Who gets the latter sends the facts missing in turn: one exchange evens out
-        both sides, as far as the room allows.
+        The facts take at most `room_bytes`. The sender answers the entries with the facts that this
+        root lacks, so one exchange reconciles both sides as far as the sizes allow.
         """
         found = []
         wanted = []
@@ -286,21 +285,21 @@
         return tuple(found), tuple(wanted)
 
     def _held_for(self, theirs: DigestEntry) -> OriginFacts | None:
-        """Return what is held of an entry's origin; of a newer incarnation, nothing yet."""
+        """Return the facts of an entry's origin, empty if the entry has a newer incarnation."""
         held = self.origins.get(theirs.origin)
         if (
             held is not None
             and held.incarnation < theirs.incarnation
             and theirs.origin != self.name
         ):
-            # A newer incarnation is known of: the facts of the old one are void.
+            # The entry proves a newer incarnation, so facts of the old one are no longer valid.
             self.forget(theirs.origin)
             held = OriginFacts(theirs.incarnation)
             self.origins[theirs.origin] = held
         return held
 
     def _facts_above(self, origin: str, version: int, now_us: int) -> Iterable[Fact]:
-        """Give an origin's facts: above a version first, then, where it has gaps, all the rest."""
+        """Yield an origin's facts above a version, then the others, which fill gaps below it."""
         ordered = sorted(
             self.origins[origin].by_key.items(),
             key=lambda item: (item[1].version <= version, item[1].version),
@@ -309,7 +308,7 @@
             yield self._to_fact(origin, key, stored, now_us)
 
     def live_facts(self, now_us: int) -> tuple[Fact, ...]:
-        """Return all facts that still count."""
+        """Return all facts that have not expired."""
         found = []
         for name, held in self.origins.items():
             for key, stored in held.by_key.items():
@@ -318,20 +317,20 @@
                     found.append(fact)
         return tuple(found)
 
-    # ---- what is known ----
+    # ---- reading ----
 
     def _age_us(self, stored: StoredFact, now_us: int) -> int:
         return stored.age_bound_us(now_us, self.settings.clock_drift)
 
     def ages_us(self, origin: str, now_us: int) -> list[int]:
-        """Return how old each fact held of an origin is at most."""
+        """Return an upper bound on the age of each fact of an origin."""
         held = self.origins.get(origin)
         return [self._age_us(stored, now_us) for stored in held.by_key.values()] if held else []
 
     def expire(self, now_us: int) -> None:
-        """Forget what counts for nothing any more.
+        """Remove expired facts.
 
-        This root's own facts too: who publishes a fact publishes it anew in time.
+        This includes this root's own, which their publisher has to renew in time.
         """
         for name, held in list(self.origins.items()):
             for key, stored in list(held.by_key.items()):
@@ -342,7 +341,7 @@
                 del self.origins[name]
 
     def known(self, key: str, now_us: int) -> dict[str, KnownFact]:
-        """Return what still counts of a key, by origin."""
+        """Return the facts of a key that have not expired, by origin."""
         found = {}
         for name, held in self.origins.items():
             stored = held.by_key.get(key)
--- a/mothnotch/decisions/fleet/member.py
+++ b/mothnotch/decisions/fleet/member.py
@@ -1,4 +1,4 @@
-"""One peer as the membership table holds it."""
+"""One entry of the membership table."""
 
 import math
 
@@ -6,7 +6,7 @@
 
 
 class Member:
-    """The claim that counts, what the peer said itself, and a suspicion; times in microseconds."""
+    """The current claim on a peer, its latest message, and its suspicion; times in microseconds."""
 
     __slots__ = (
         "claim",
@@ -21,20 +21,20 @@
     )
 
     def __init__(self, claim: Claim, now_us: int):
-        """Hold a claim from now on."""
+        """Create an entry whose claim takes effect now."""
         self.claim = claim
         self.heard_us = None
         self.since_us = now_us
         self.is_direct = True
-        # Its latest stamp, and when that came.
+        # The peer's latest stamp, and when it was received.
         self.stamp = None
         self.stamp_came_us = None
-        # A suspicion: who shares it, when it runs out (of a gone one: when it leaves the table),
-        # and when it began.
+        # The roots that suspect the peer; when the suspicion expires, or for a gone peer, when the
+        # entry is removed; and when the suspicion started.
         self.suspected_by = set()
         self.ends_us = math.inf
         self.suspected_us = now_us
 
     def heard_while_suspected(self) -> bool:
-        """Return whether this root heard the peer itself since the suspicion began."""
+        """Return whether a message of the peer has arrived since the suspicion started."""
         return self.heard_us is not None and self.heard_us > self.suspected_us
--- a/mothnotch/decisions/fleet/membership.py
+++ b/mothnotch/decisions/fleet/membership.py
@@ -1,17 +1,19 @@
-"""The membership table: which roots are there, in which incarnation, and how sure that is.
-
-Pure: claims and the clock come in, beliefs and changes go out. Times are microseconds on the root's
-own monotonic clock; nothing here trusts a wall clock, or that clocks of two roots agree.
-
-- An *incarnation* is one process of a root: (number, nonce). A higher number wins, the nonce splits
-  a tie; both are drawn at the start, and a root that finds its own name with an incarnation above
-  its own takes a number above that. No claim about an old incarnation touches a newer one.
-- What a root hears itself counts for more than what others say: nobody is gone for a root that has
-  heard that very incarnation since; it only suspects, and passes the claim on to the suspect.
-
-Bounds: `max_members` members (past it a new name is reported and not taken), `max_departed`
-incarnations remembered of those that left the table (the oldest is forgotten; what it says then
-counts until an incarnation above it speaks).
+"""The membership table: the known roots, with the incarnation and state of each.
+
+Pure: claims and the time are inputs, member states and changes are outputs. Times are microseconds
+on the root's own monotonic clock; neither wall clocks nor agreement between clocks are assumed.
+
+- An *incarnation* is one process of a root, identified by (number, nonce). The higher number takes
+  precedence, and the nonce breaks ties. Both are set at the start. A root that receives a claim on
+  its own name with a higher incarnation adopts a number above it. No claim about an old incarnation
+  affects a newer one.
+- A root's own evidence takes precedence over claims of others: a member whose current incarnation
+  was heard recently is only suspected when another root claims that it is gone. The suspicion is
+  sent to the member, which can refute it.
+
+Bounds: `max_members` members, beyond which a new name is reported and not added; `max_departed`
+incarnations of removed members, beyond which the oldest is forgotten, and its claims are accepted
+again until a higher incarnation is heard.
 """
 
 import math
@@ -32,8 +34,8 @@
 )
 from mothnotch.decisions.fleet.update_queue import UpdateQueue
 
-# Incarnations that a root takes over a name in `name_conflict_window_us` before it lets the other
-# have it: two roots that outbid each other for ever would flood the fleet with claims.
+# New incarnations that a root adopts within `name_conflict_window_us` because of a name conflict.
+# Without a limit, two roots that outbid each other would flood the fleet with claims.
 MAX_CONFLICT_INCARNATIONS = 3
 _CHANGE_TO_STATE = {
     ALIVE: ChangeKind.SOUND,
@@ -43,7 +45,7 @@
 
 
 class Membership:
-    """One root's table. `changes` and `counts` are shared with the root's other parts."""
+    """One root's membership table. `changes` and `counts` are shared with `SwimNode`."""
 
     def __init__(
         self,
@@ -56,24 +58,24 @@
         changes: deque[MembershipChange],
         counts: dict[str, int],
     ):
-        """Start a table that holds `members` (empty, shared with `health`)."""
+        """Create a table over `members`, which is empty and shared with `health`."""
         self.name = own_claim.name
         self.own_claim = own_claim
         self.settings = settings
         self.members = members
-        # The last claims on names no longer held, the oldest first.
+        # The last claim on each removed member, by name, the oldest first.
         self.departed = {}
         self._health = health
         self._probe_order = probe_order
         self._updates = updates
         self._changes = changes
         self._counts = counts
-        self._conflicts_us = []  # when this root took an incarnation over its name
+        self._conflicts_us = []  # when this root adopted a new incarnation
 
-    # ---- what is believed ----
+    # ---- queries ----
 
     def beliefs(self, now_us: int) -> list[Belief]:
-        """Return what is believed of each member, by name."""
+        """Return the state of each member, sorted by name."""
         return [
             Belief(
                 name,
@@ -89,19 +91,19 @@
         ]
 
     def live(self) -> list[str]:
-        """Return the names of those not held for gone."""
+        """Return the names of members that are alive or suspect."""
         return [name for name, member in self.members.items() if member.claim.state != GONE]
 
     def in_state(self, state: str) -> list[str]:
-        """Return the names of those held for a state."""
+        """Return the names of members in a state."""
         return [name for name, member in self.members.items() if member.claim.state == state]
 
     def cluster_size(self) -> int:
-        """Return how many roots there are, this one among them."""
+        """Return the number of roots that are not gone, this one included."""
         return 1 + len(self.live())
 
     def incarnation_of(self, name: str) -> tuple[int, int] | None:
-        """Return the newest incarnation known of a name, or None."""
+        """Return the newest known incarnation of a name, or None."""
         if name == self.name:
             return self.own_claim.incarnation
         member = self.members.get(name)
@@ -111,27 +113,27 @@
         return None if departed is None else departed.incarnation
 
     def min_suspicion_us(self) -> float:
-        """Return the shortest time that a suspicion lasts, microseconds."""
+        """Return the minimum suspicion timeout, microseconds."""
         scale = max(1.0, math.log10(self.cluster_size()))
         return self.settings.suspicion_periods * scale * self.settings.period_us
 
-    # ---- what is heard ----
+    # ---- received claims ----
 
     def on_sender(self, message: Message, address: str, now_us: int) -> None:
-        """Take that a root spoke itself, from there: that counts for more than what others say."""
+        """Process the sender's own claim that it is alive at the address it sent from."""
         sender = message.sender
         spoken = Claim(sender.name, sender.incarnation, sender.refutation, ALIVE, address)
         self.believe(spoken, now_us, direct=True)
         member = self.members.get(sender.name)
         if member is not None and (member.stamp is None or message.stamp > member.stamp):
-            # Only what it said later than all before shows that it lives: a message repeated by the
-            # network does not.
+            # Only a stamp newer than all before is evidence of life: the network may duplicate an
+            # old message.
             member.heard_us = now_us
             member.stamp = message.stamp
             member.stamp_came_us = now_us
 
     def on_claim(self, claim: Claim, by: str, now_us: int) -> None:
-        """Take what another root says of a third, or of this one."""
+        """Process a claim that the root `by` sent about a third root, or about this one."""
         if claim.state not in STATES:
             self._counts["nonsense"] += 1
         elif claim.name == self.name:
@@ -145,7 +147,7 @@
             self.believe(claim, now_us)
 
     def _refute(self, claim: Claim) -> None:
-        """Answer a claim of this root's death by a refutation above it; it may be slow itself."""
+        """Refute a claim that this root is suspect or gone, and lower its own local health."""
         if claim.state == ALIVE or claim.refutation < self.own_claim.refutation:
             return
         self._counts["refuted"] += 1
@@ -158,7 +160,7 @@
         self._updates.add(self.own_claim)
 
     def _heard_lately(self, claim: Claim, now_us: int) -> bool:
-        """Return whether that very incarnation has spoken to this root of late."""
+        """Return whether this incarnation was heard within the minimum suspicion timeout."""
         member = self.members.get(claim.name)
         return (
             member is not None
@@ -168,15 +170,17 @@
         )
 
     def on_name_conflict(self, claim: Claim, now_us: int) -> None:
-        """Take an incarnation of this root's name that is not this one: an old one of its own, or
-        another root with the name.
+        """Process a claim on this root's name with another incarnation.
+
+        The claim is about an earlier process of this root, or about another root with its name.
         """
         if claim.incarnation < self.own_claim.incarnation:
             return
         window_us = self.settings.name_conflict_window_us
         self._conflicts_us = [at_us for at_us in self._conflicts_us if now_us - at_us < window_us]
         if claim.state == ALIVE and self._conflicts_us:
-            # An old incarnation never rises above what this one took: somebody else lives.
+            # An earlier process cannot exceed an incarnation adopted by this one, so another root
+            # must be running under the name.
             self._report(ChangeKind.NAME_CONFLICT, claim)
         if len(self._conflicts_us) < MAX_CONFLICT_INCARNATIONS:
             self._conflicts_us.append(now_us)
@@ -188,7 +192,7 @@
     # ---- suspicion ----
 
     def suspect(self, claim: Claim, by: str, now_us: int) -> None:
-        """Take a suspicion that `by` states; each further root that shares it shortens it."""
+        """Process a suspicion from the root `by`; each further suspecting root shortens it."""
         member = self._member_of(claim)
         if member is None:
             self.believe(claim, now_us)
@@ -208,14 +212,14 @@
         member.ends_us = member.suspected_us + self._suspicion_us(member)
 
     def _member_of(self, claim: Claim) -> Member | None:
-        """Return the member whose present incarnation a claim is about, if any."""
+        """Return the member if the claim is about its current incarnation, or None."""
         member = self.members.get(claim.name)
         if member is None or claim.incarnation != member.claim.incarnation:
             return None
         return member
 
     def _suspicion_us(self, member: Member) -> float:
-        """Return how long a suspicion lasts: the more share it, the shorter (Lifeguard)."""
+        """Return the suspicion timeout, which confirmations shorten logarithmically (Lifeguard)."""
         least_us = self.min_suspicion_us()
         size = self.cluster_size()
         if not self.settings.local_health or size <= 2:
@@ -227,13 +231,13 @@
         return max(least_us, most_us - saved_us)
 
     def extend_suspicions(self, by_us: int) -> None:
-        """Lengthen each suspicion by the time that this root stood still."""
+        """Extend each suspicion by the time that this root was paused."""
         for member in self.members.values():
             if member.claim.state == SUSPECT:
                 member.ends_us += by_us
 
     def expire(self, now_us: int) -> None:
-        """Hold for gone whose suspicion has run out, and drop those that are gone for long."""
+        """Declare members gone whose suspicion has expired, and remove long gone ones."""
         for name, member in list(self.members.items()):
             if member.ends_us > now_us:
                 continue
@@ -252,21 +256,19 @@
                 self._updates.discard(name)
                 self._remember_departed(member.claim)
 
-    # ---- the table ----
+    # ---- table updates ----
 
     def _remember_departed(self, claim: Claim) -> None:
-        """Remember the last incarnation of a name not held any more, so that no older claim brings
-        it back.
-        """
+        """Remember the last claim on a removed member, so that no older claim adds it again."""
         self.departed.pop(claim.name, None)
         self.departed[claim.name] = claim
         while len(self.departed) > self.settings.max_departed:
             del self.departed[next(iter(self.departed))]
 
     def believe(self, claim: Claim, now_us: int, direct: bool = False) -> None:
-        """Take a claim about another root if it counts for more than what is held.
+        """Apply a claim about another root if it overrides the current one.
 
-        `direct`: the root said it itself.
+        `direct` tells whether the root made the claim itself.
         """
         member = self.members.get(claim.name)
         if member is None:
@@ -282,7 +284,7 @@
             self._updates.add(self.members[claim.name].claim)
 
     def _add(self, claim: Claim, now_us: int, direct: bool) -> bool:
-        """Take a name that is not held; return whether it is held now."""
+        """Add a member that is not in the table; return whether it was added."""
         last = self.departed.get(claim.name)
         if (
             last is not None
@@ -304,7 +306,7 @@
         return True
 
     def _replace(self, claim: Claim, now_us: int) -> None:
-        """Hold a newer incarnation in place of an older one, of which nothing counts any more."""
+        """Replace a member by its newer incarnation; nothing of the older one is kept."""
         member = Member(claim, now_us)
         self.members[claim.name] = member
         self._report(ChangeKind.NEW_INCARNATION, claim)
@@ -312,10 +314,10 @@
             member.ends_us = now_us + self.settings.gone_retention_us
 
     def _update(self, member: Member, claim: Claim, now_us: int, direct: bool) -> bool:
-        """Take a claim about the incarnation that is held; return whether it counted.
+        """Apply a claim about the current incarnation; return whether it had an effect.
 
-        Its own voice from another address moves it; a gone one needs a higher refutation to come
-        back.
+        A message from the member itself at another address changes its address. A gone member
+        needs a higher refutation to become alive again.
         """
         held = member.claim
         moved = direct and claim.address != held.address
@@ -333,7 +335,7 @@
         return True
 
     def _change_state(self, member: Member, now_us: int) -> None:
-        """Begin the state that the member's claim now has."""
+        """Initialize the state that the member's claim now has."""
         member.since_us = now_us
         member.suspected_by = set()
         member.ends_us = math.inf
--- a/mothnotch/decisions/fleet/membership_changes.py
+++ b/mothnotch/decisions/fleet/membership_changes.py
@@ -1,13 +1,13 @@
-"""What a root's membership reports to the program: changes as they happen, beliefs on request."""
+"""What membership reports to its user: changes as events, and the state of each member."""
 
 from dataclasses import dataclass
 from enum import StrEnum
 
-MAX_CHANGES = 1024  # kept until they are taken; the oldest is dropped
+MAX_CHANGES = 1024  # buffered until they are taken; beyond that, the oldest is dropped
 
 
 class ChangeKind(StrEnum):
-    """What changed. The values stand in the log."""
+    """The kind of a membership change. The values appear in the log."""
 
     JOINED = "joined"
     SUSPECTED = "suspect"
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True, frozen=True)
 class MembershipChange:
-    """What changed, for whom, and in which incarnation where that is known."""
+    """A change of one member, with its incarnation where that is known."""
 
     kind: ChangeKind
     name: str
@@ -32,10 +32,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Belief:
-    """What is believed of one peer.
+    """The state of one member as this root sees it.
 
-    Ages in microseconds: since it spoke itself, and since the state began; `direct`: whether the
-    last probe of it was answered without a helper.
+    `heard_us` and `since_us` are the ages, in microseconds, of the last message from the member
+    and of its present state. `direct` tells whether its last probe was acked without a helper.
     """
 
     name: str
--- a/mothnotch/decisions/fleet/message_builder.py
+++ b/mothnotch/decisions/fleet/message_builder.py
@@ -1,4 +1,4 @@
-"""Messages of one root: with its clock, the echo of the receiver's, and piggybacked claims."""
+"""Builds one root's messages, with its stamp, the echo of the receiver's, and queued claims."""
 
 from mothnotch.decisions.fleet.membership import Membership
 from mothnotch.decisions.fleet.swim_messages import ALIVE, Message, Send
@@ -6,10 +6,10 @@
 
 
 class MessageBuilder:
-    """Each message built takes claims out of `updates`: it has to be sent."""
+    """Builds messages. Each consumes transmissions of queued claims, so it has to be sent."""
 
     def __init__(self, membership: Membership, updates: UpdateQueue):
-        """Build messages in the name of the table's root."""
+        """Create a builder for the root that owns the table."""
         self._membership = membership
         self._updates = updates
 
@@ -23,9 +23,10 @@
         target: str = "",
         target_address: str = "",
     ) -> Send:
-        """Return a message to an address, for the root `to` ("" if its name is not known).
+        """Return a message for the root `to` ("" if its name is unknown) at an address.
 
-        A receiver that is suspected or held for gone learns that first, so that it can refute it.
+        If the receiver is suspect or gone in the table, that claim comes first in the message, so
+        that the receiver can refute it (Lifeguard's buddy system).
         """
         member = self._membership.members.get(to)
         echo = None
--- a/mothnotch/decisions/fleet/probe_order.py
+++ b/mothnotch/decisions/fleet/probe_order.py
@@ -1,10 +1,10 @@
-"""In which order members are probed: SWIM's shuffled round robin."""
+"""The order in which members are probed: SWIM's round robin with a shuffle per round."""
 
 from mothnotch.decisions.fleet.swim_messages import GONE
 
 
 class ProbeOrder:
-    """Each member comes up once a round, so that a dead one is probed within two rounds."""
+    """Selects each member once per round, so that a dead one is probed within two rounds."""
 
     def __init__(self, random):
         """Start without members; `random` is a random.Random."""
@@ -12,11 +12,11 @@
         self._names = []  # the last is probed next
 
     def insert(self, name: str) -> None:
-        """Put a new member at a random place of this round."""
+        """Insert a new member at a random position of the current round."""
         self._names.insert(self._random.randrange(len(self._names) + 1), name)
 
     def refill(self, members: dict) -> None:
-        """Begin another round if nobody that is still a member is left of this one."""
+        """Start a new round if the current one has no more members."""
         while self._names and self._names[-1] not in members:
             self._names.pop()
         if not self._names:
@@ -24,7 +24,7 @@
             self._random.shuffle(self._names)
 
     def take_next(self, members: dict) -> str | None:
-        """Return whom to probe next, or None if this round holds nobody more."""
+        """Return the next member to probe, or None if the current round has no more."""
         while self._names:
             name = self._names.pop()
             member = members.get(name)
--- a/mothnotch/decisions/fleet/rate_limit.py
+++ b/mothnotch/decisions/fleet/rate_limit.py
@@ -1,17 +1,17 @@
-"""How many messages of other roots are looked at: a flood must not take a root's processor from its
-queries.
-"""
+"""Rate limit on messages from other roots, so that a flood does not take CPU time from queries."""
 
 from mothnotch.decisions.token_bucket import TokenBucket
 
-# 200 roots send about 10 messages a second to each root when all goes wrong at once.
+# In a fleet of 200 roots with many simultaneous failures, each root receives about 10 messages a
+# second from each of the others.
 MESSAGES_PER_S = 2000
 BURST_MESSAGES = 1000
 
 
 class MessageRateLimit:
-    """A token bucket. Harm: in a flood, sound messages are dropped like the rest; the membership
-    lives with loss.
+    """A token bucket over all senders.
+
+    A flood also causes legitimate messages to be dropped, which the membership tolerates as loss.
     """
 
     def __init__(self, per_second: float = MESSAGES_PER_S, burst: float = BURST_MESSAGES):
@@ -19,5 +19,5 @@
         self._bucket = TokenBucket(burst, per_second)
 
     def allow(self, now_us: int) -> bool:
-        """Return whether a message that came now is looked at."""
+        """Return whether to process a message that has just arrived."""
         return self._bucket.take(now_us)
--- a/mothnotch/decisions/fleet/swim_messages.py
+++ b/mothnotch/decisions/fleet/swim_messages.py
@@ -1,8 +1,7 @@
-"""What roots say to each other about who is there: claims, the messages that carry them, and the
-settings of the protocol.
+"""Membership claims, the messages that carry them, and the settings of the SWIM protocol.
 
-Kinds and states are plain strings, because they come off the wire: one that this release does not
-know has to be read, counted and dropped, and must not fail where it is decoded.
+Kinds and states are plain strings because they are read from the wire: a value that this release
+does not know must decode, so that the message can be counted and dropped.
 """
 
 from dataclasses import dataclass
@@ -10,7 +9,7 @@
 ALIVE = "alive"
 SUSPECT = "suspect"
 GONE = "gone"
-STATES = (ALIVE, SUSPECT, GONE)  # of two claims with one refutation number, the later state counts
+STATES = (ALIVE, SUSPECT, GONE)  # at equal refutation numbers, the later state takes precedence
 
 PING = "ping"
 ACK = "ack"
@@ -22,46 +21,50 @@
 
 @dataclass(slots=True, frozen=True)
 class SwimSettings:
-    """Times in microseconds. A period is one probe; an answer is waited for `answer_timeout_us`, a
-    helper's until the period ends.
+    """Settings of membership and failure detection. Times are in microseconds.
+
+    One member is probed per protocol period. A direct ack is awaited for `answer_timeout_us`, an
+    indirect one until the period ends.
     """
 
     period_us: int = 500_000
     answer_timeout_us: int = 200_000
     indirect_probes: int = 3
-    # While there are claims to pass on, they go to `gossip_fanout` others so often.
+    # While claims are queued, they are sent to `gossip_fanout` random members at this interval.
     gossip_interval_us: int = 200_000
     gossip_fanout: int = 2
-    # Suspects that are asked again each period.
+    # Suspects that are pinged again in each period.
     suspects_reprobed: int = 4
-    # The least suspicion time: so many periods, times log10 of the fleet (1 at least).
+    # The minimum suspicion timeout in periods, multiplied by max(1, log10 of the fleet size).
     suspicion_periods: float = 6.0
-    # Unconfirmed, a suspicion lasts so many times that.
+    # The timeout of an unconfirmed suspicion, as a multiple of the minimum.
     suspicion_max_multiple: float = 6.0
-    # Others that share a suspicion for it to last the least time.
+    # Independent confirmations that shorten a suspicion to the minimum timeout.
     confirmations: int = 3
-    # A claim is piggybacked so many times log2 of the fleet.
+    # A claim is piggybacked at most this many times log2 of the fleet size.
     retransmit_multiple: float = 3.0
     claims_per_message: int = 8
     max_members: int = 256
-    # Incarnations remembered of names no longer held.
+    # Incarnations remembered for members that were removed from the table.
     max_departed: int = 512
-    # A member that is gone leaves the table after so long.
+    # How long a gone member stays in the table.
     gone_retention_us: int = 60_000_000
-    # An address that nobody has answered from is called so often.
+    # How often a seed address is pinged until a member answers from it.
     seed_interval_us: int = 2_000_000
     name_conflict_window_us: int = 30_000_000
-    # Lifeguard's local health; off only to measure what it brings.
+    # Lifeguard's local health; disabled only to measure its effect.
     local_health: bool = True
 
 
 @dataclass(slots=True, frozen=True)
 class Claim:
-    """A statement about one incarnation of a root.
+    """A statement about the state of one incarnation of a root.
 
-    An incarnation is one process: (number, nonce), the higher is the newer. Within it, `refutation`
-    rises each time that the root refutes a claim of its death. Of two claims about one incarnation
-    the higher refutation counts, then gone, suspect, alive.
+    An incarnation is one process, identified by (number, nonce); the higher is the newer. Within
+    it, `refutation` has the role of SWIM's incarnation number: the root raises it whenever it
+    refutes a claim that it is suspect or gone. Of two claims about the same incarnation, the one
+    with the higher refutation takes precedence; at equal refutations the order is gone, suspect,
+    alive.
     """
 
     name: str
@@ -72,21 +75,22 @@
 
     @property
     def rank(self) -> tuple[int, int]:
-        """Return what decides between two claims about one incarnation; the higher counts."""
+        """Return the precedence among claims about one incarnation; the higher overrides."""
         return self.refutation, STATES.index(self.state)
 
     def with_state(self, state: str) -> "Claim":
-        """Return the same claim with another state."""
+        """Return a copy of the claim with another state."""
         return Claim(self.name, self.incarnation, self.refutation, state, self.address)
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message of the protocol.
+    """One protocol message.
 
-    `to`: whom it is meant for ("" if only an address is known); `target`: of a ping request, whom
-    to probe, of a relayed ack, who answered; `address`: of a ping request, where the target is.
-    `stamp`: the sender's clock; `echo`: the latest stamp had from the receiver, and how long ago.
+    `to` names the intended receiver, "" if only its address is known. `target` is the member to
+    probe in a ping request, and the member that answered in a relayed ack. `address` is the
+    target's address in a ping request. `stamp` is the sender's clock. `echo` is the latest stamp
+    received from the receiver, and how long ago that was.
     """
 
     kind: str
@@ -102,15 +106,16 @@
 
 @dataclass(slots=True, frozen=True)
 class Send:
-    """A message that is to be sent to an address."""
+    """A message to send to an address."""
 
     address: str
     message: Message
 
 
 def age_bound_us(message: Message, now_us: int) -> int | None:
-    """Return how old a message to this root can be at most, by its own clock; None where nothing
-    bounds it.
+    """Return an upper bound on a received message's time in transit, by the receiver's clock.
+
+    Return None if the message has no valid echo: then nothing bounds its age.
     """
     if message.echo is None:
         return None
--- a/mothnotch/decisions/fleet/swim_node.py
+++ b/mothnotch/decisions/fleet/swim_node.py
@@ -1,20 +1,21 @@
-"""One root's part in the membership of the fleet: messages and the clock in, messages out.
+"""One root's SWIM node: messages and the time are inputs, messages to send are outputs.
 
 Pure: no I/O, and no clock of its own. Times are microseconds on the root's own monotonic clock.
 
-Taken, after weighing what docs/peers.md lists: SWIM (Das, Gupta, Motivala 2002) with suspicion,
-probing in a shuffled round robin, indirect probes, and claims piggybacked on probes; Lifeguard
-(Dadgar, Phillips, Currey 2018) for a root's doubt of itself, a suspicion that shortens as others
-confirm it, and the claim to the suspected first. Beyond both:
+The protocol is SWIM (Das, Gupta, Motivala 2002) with suspicion, probes in a shuffled round robin,
+indirect probes, and claims piggybacked on probes. From Lifeguard (Dadgar, Phillips, Currey 2018)
+come the local health score, suspicion timeouts that shorten with confirmations, and the buddy
+system, which tells a suspect of its suspicion first. docs/peers.md lists the alternatives.
+Additions to both:
 
-- Incarnations are processes (membership.py); what an old incarnation says is dropped.
-- A root that was paused doubts itself: what it waited for in the pause is not held against anybody,
-  and it makes no new suspicion until it has heard an answer again.
-- A root whose probes fail for most of the others holds itself for isolated, not them for gone.
-- A message states how long ago, at least, the receiver spoke (`echo`), which bounds its age on the
-  receiver's clock.
+- An incarnation is a process (membership.py); messages of an old incarnation are dropped.
+- After a pause, a root is recovering: acks that it missed in the pause count against no member,
+  and it makes no new suspicion until it has received an ack.
+- A root whose probes fail for most members considers itself isolated instead of them gone.
+- A message echoes the receiver's latest stamp and how long ago it was received, which bounds the
+  message's age on the receiver's clock.
 
-Bounds: those of membership.py and failure_detector.py; `claims_per_message` claims a message.
+Bounds: those of membership.py and failure_detector.py; `claims_per_message` claims per message.
 """
 
 from collections import deque
@@ -47,8 +48,10 @@
 
 
 class SwimNode:
-    """One root's view. `on_message` and `tick` give what is to be sent; `due_us` is when `tick` has
-    to come at the latest; changes are collected until `take_changes`.
+    """One root's membership protocol.
+
+    `on_message` and `tick` return the messages to send. `tick` has to be called at `due_us` at the
+    latest. Membership changes are collected until `take_changes`.
     """
 
     def __init__(
@@ -61,7 +64,7 @@
         random,
         now_us: int,
     ):
-        """Start alone, with `seeds` to be called; `random` is a random.Random."""
+        """Start without members, with `seeds` to ping; `random` is a random.Random."""
         self.settings = settings
         self.counts = {
             "old_life": 0,
@@ -109,15 +112,15 @@
         self._ticked_us = now_us
 
     def take_changes(self) -> list[MembershipChange]:
-        """Return what changed since the last call."""
+        """Return the membership changes since the last call."""
         found = list(self._changes)
         self._changes.clear()
         return found
 
-    # ---- time ----
+    # ---- timers ----
 
     def due_us(self) -> float:
-        """Return when `tick` has to come, if nothing is heard before."""
+        """Return when `tick` has to be called unless a message arrives before."""
         times_us = [
             self._next_period_us,
             *self.seeds.next_call_us.values(),
@@ -129,8 +132,10 @@
         return min(times_us)
 
     def tick(self, now_us: int) -> list[Send]:
-        """Do what is due by now: outcomes of probes, suspicions that have run out, calls to seeds,
-        the next probe, claims to be passed on. Return what is to be sent.
+        """Do everything that is due; return the messages to send.
+
+        This evaluates probes, expires suspicions, pings seeds, starts the next probe and gossips
+        queued claims.
         """
         out = []
         self._detect_pause(now_us)
@@ -148,9 +153,11 @@
         return out
 
     def _detect_pause(self, now_us: int) -> None:
-        """Guard against the claims of a root that stood still: a process stopped, starved or asleep
-        finds all its probes overdue at once. They say nothing of others. Harm: a truly dead peer is
-        found so much later.
+        """Detect that this root was paused, and discard what it would conclude from the pause.
+
+        A process that was stopped, starved of CPU or suspended finds all its probes overdue at
+        once, which says nothing about the members. As a cost, the failure of a dead member is
+        detected later by the length of the pause.
         """
         late_us = now_us - max(self._ticked_us, min(self.due_us(), now_us))
         self._ticked_us = now_us
@@ -164,7 +171,7 @@
         self.membership.extend_suspicions(late_us)
 
     def _call_seeds(self, now_us: int, out: list[Send]) -> None:
-        """Ping the seeds that are due, except where a member answers already."""
+        """Ping the seeds that are due, except addresses of alive members."""
         for address in self.seeds.take_due(now_us):
             is_member = any(
                 member.claim.address == address and member.claim.state == ALIVE
@@ -175,7 +182,7 @@
                 out.append(self.builder.build(now_us, address, PING, "", number))
 
     def _gossip(self, now_us: int, out: list[Send]) -> None:
-        """Pass claims on to a few others, besides those piggybacked on probes."""
+        """Send queued claims to a few random members, besides those piggybacked on probes."""
         names = self.membership.live()
         for name in self._random.sample(names, min(self.settings.gossip_fanout, len(names))):
             if self._updates:
@@ -185,7 +192,7 @@
     # ---- messages ----
 
     def on_message(self, now_us: int, address: str, message: Message) -> list[Send]:
-        """Take a message that came from an address; return what is to be sent."""
+        """Process a message from an address; return the messages to send."""
         out = []
         sender = message.sender
         if (
@@ -202,8 +209,8 @@
                 membership.on_name_conflict(sender, now_us)
             return out
         if message.to and message.to != membership.name:
-            # Meant for another that had this address before: the sender learns from the answer who
-            # is here now.
+            # The message is for a root that had this address before. The sender learns from the
+            # answer which root has it now.
             self.counts["not_for_me"] += 1
         known = membership.incarnation_of(sender.name)
         if known is not None and sender.incarnation < known:
@@ -218,8 +225,9 @@
     def _answer_old_incarnation(
         self, now_us: int, address: str, message: Message, out: list[Send]
     ) -> None:
-        """Drop what an old incarnation says. The claim in the answer tells it that its name is in
-        other hands.
+        """Drop a message of an old incarnation.
+
+        A ping is acked with the claim on the newer incarnation, so that the sender learns of it.
         """
         self.counts["old_life"] += 1
         member = self.membership.members.get(message.sender.name)
@@ -231,7 +239,7 @@
             out.append(Send(address, answer))
 
     def _dispatch(self, now_us: int, address: str, message: Message, out: list[Send]) -> None:
-        """Let the failure detector act on a message; gossip holds nothing but its claims."""
+        """Pass a message to the failure detector; gossip has only claims and needs no handler."""
         detector = self.failure_detector
         if message.kind == PING:
             detector.on_ping(now_us, address, message, out)
--- a/mothnotch/decisions/fleet/update_queue.py
+++ b/mothnotch/decisions/fleet/update_queue.py
@@ -1,4 +1,4 @@
-"""Claims that are still to be passed on: each is piggybacked on so many messages at most."""
+"""The queue of claims to disseminate, each piggybacked on a bounded number of messages."""
 
 import math
 
@@ -6,28 +6,28 @@
 
 
 class UpdateQueue:
-    """At most one claim a name, the latest; so its bound is the table's."""
+    """Holds only the latest claim for each name, so that it is bounded by the table's size."""
 
     def __init__(self, retransmit_multiple: float, claims_per_message: int):
-        """Start empty; a claim is sent so many times log2 of the fleet."""
+        """Start empty; a claim is sent `retransmit_multiple` times log2 of the fleet size."""
         self.retransmit_multiple = retransmit_multiple
         self.claims_per_message = claims_per_message
-        self._queued = {}  # name -> [claim, times it was piggybacked]
+        self._queued = {}  # name -> [claim, number of transmissions]
 
     def __bool__(self) -> bool:
-        """Return whether anything is to be passed on."""
+        """Return whether any claim is queued."""
         return bool(self._queued)
 
     def add(self, claim: Claim) -> None:
-        """Queue a claim in place of an earlier one about its name."""
+        """Queue a claim; it replaces an earlier one with the same name."""
         self._queued[claim.name] = [claim, 0]
 
     def discard(self, name: str) -> None:
-        """Pass on nothing more about a name."""
+        """Remove the claim with a name, if any."""
         self._queued.pop(name, None)
 
     def take(self, first: Claim | None, cluster_size: int) -> tuple[Claim, ...]:
-        """Return the claims that a message takes along: `first`, then those sent least often."""
+        """Return the claims to piggyback on one message: `first`, then the least transmitted."""
         max_sends = max(1, math.ceil(self.retransmit_multiple * math.log2(cluster_size + 1)))
         found = []
         if first is not None:
--- a/mothnotch/peers/__init__.py
+++ b/mothnotch/peers/__init__.py
@@ -1,3 +1,4 @@
-"""How roots speak with each other: the form on the wire, and the sockets. What is said stands in
-decisions/fleet/.
+"""Communication between roots: the wire format and the sockets.
+
+The protocol itself is in decisions/fleet/.
 """
--- a/mothnotch/peers/codec.py
+++ b/mothnotch/peers/codec.py
@@ -1,14 +1,14 @@
-"""The form of what roots send: a head that tells strangers at once, and a body of msgpack. No I/O.
+"""The wire format of messages between roots: an authenticated header and a msgpack body. No I/O.
 
-Head: two bytes that name the kind, the version, four bytes of the fleet's name hashed, 16 bytes of
-a keyed tag (blake2b over head and body). Two keys are valid at once, so that a key is changed root
-by root: the first signs.
+The header is a two-byte magic number for the kind, a version byte, a four-byte hash of the fleet's
+name, and a 16-byte authentication tag (keyed blake2b over header and body). Two keys can be valid
+at once, so that keys can be rotated root by root; the first one signs.
 
-Three kinds: `mn`, an envelope in a datagram; over a stream, each behind its length, `mw`, all that
-a root holds, and `mv`, what it believes, for operators.
+There are three kinds: `mn`, an envelope in a datagram, and over a stream, each with a length
+prefix, `mw`, a full state, and `mv`, a root's view of the fleet for operators.
 
-Bounds: a datagram of MAX_DATAGRAM_BYTES, a message on a stream of MAX_STREAM_BYTES; names and
-addresses as long as wire.py allows; more is not read.
+Bounds: MAX_DATAGRAM_BYTES per datagram, MAX_STREAM_BYTES per message on a stream; names and
+addresses as long as wire.py allows. Larger messages are dropped.
 """
 
 from collections.abc import Callable
@@ -39,9 +39,9 @@
 FLEET_BYTES = 4
 TAG_BYTES = 16
 HEAD_BYTES = len(ENVELOPE_MAGIC) + 1 + FLEET_BYTES + TAG_BYTES
-# Fits into one Ethernet frame: a datagram in pieces is lost with any of them.
+# Fits into one Ethernet frame: a fragmented datagram is lost if any fragment is.
 MAX_DATAGRAM_BYTES = 1400
-# What one caller can make a root hold at most, before its tag is checked.
+# The most that a client can make a root buffer before its tag is verified.
 MAX_STREAM_BYTES = 1 << 20
 
 pack = msgspec.msgpack.Encoder().encode
@@ -51,13 +51,13 @@
 
 
 class InvalidMessageError(ValueError):
-    """A message is dropped.
+    """A message is invalid and has to be dropped.
 
-    `reason` is one of: short, long, stranger, version, fleet, tag, form; of an exchange also stamp.
+    `reason` is one of: short, long, stranger, version, fleet, tag, form; on a stream also stamp.
     """
 
     def __init__(self, reason: str):
-        """State why."""
+        """Create an error with a reason."""
         super().__init__(reason)
         self.reason = reason
 
@@ -66,29 +66,29 @@
     """Encodes and decodes the messages of one fleet."""
 
     def __init__(self, fleet: str, keys: list[bytes]):
-        """Take the fleet's name, and one or two keys of 16 to 64 bytes; the first signs.
+        """Create a codec from the fleet's name and one or two keys of 16 to 64 bytes.
 
-        Raise ValueError if that is not what they are.
+        The first key signs. Raise ValueError if the name is empty or the keys are invalid.
         """
         if not fleet or not 1 <= len(keys) <= 2 or not all(16 <= len(key) <= 64 for key in keys):
-            raise ValueError("a fleet has a name, and one or two keys of 16 to 64 bytes")
+            raise ValueError("a fleet needs a name, and one or two keys of 16 to 64 bytes")
         self.keys = list(keys)
         fleet_hash = blake2b(fleet.encode(), digest_size=FLEET_BYTES).digest()
         self._version_and_fleet = bytes([VERSION]) + fleet_hash
         self.start = ENVELOPE_MAGIC + self._version_and_fleet
 
-    # ---- the head ----
+    # ---- header ----
 
     def seal(self, magic: bytes, body: bytes) -> bytes:
-        """Return a body behind its head."""
+        """Return a body with its header prepended."""
         start = magic + self._version_and_fleet
         tag = blake2b(start + body, digest_size=TAG_BYTES, key=self.keys[0]).digest()
         return start + tag + body
 
     def _open(self, magic: bytes, data: bytes, max_bytes: int) -> bytes:
-        """Return the body of what came; raise InvalidMessageError if there is none.
+        """Return the body of a message; raise InvalidMessageError if its header is invalid.
 
-        Nothing of it is looked at before the tag holds.
+        The body is not decoded before the tag is verified.
         """
         if len(data) < HEAD_BYTES:
             raise InvalidMessageError("short")
@@ -122,10 +122,10 @@
     # ---- datagrams ----
 
     def encode(self, envelope: Envelope) -> bytes:
-        """Return a datagram.
+        """Return an envelope as a datagram.
 
-        What does not fit is left out: facts first, then digests, then claims; all of it is sent
-        again.
+        What does not fit is left out: facts first, then the digest, then wanted entries, then
+        claims. All of it is retransmitted later.
         """
         body = _envelope_to_wire(envelope)
         packed = pack(body)
@@ -138,7 +138,7 @@
         return self.seal(ENVELOPE_MAGIC, packed)
 
     def decode(self, data: bytes) -> Envelope:
-        """Return the envelope of a datagram; raise InvalidMessageError if there is none."""
+        """Return the envelope in a datagram; raise InvalidMessageError if it is invalid."""
         return self._decode(
             ENVELOPE_MAGIC, data, MAX_DATAGRAM_BYTES, _unpack_envelope, _envelope_from_wire
         )
@@ -146,9 +146,9 @@
     # ---- streams ----
 
     def encode_full_state(self, state: FullState) -> bytes:
-        """Return all that a root holds, for a stream.
+        """Return a full state as a message for a stream.
 
-        Facts that do not fit are left out; digests bring them.
+        Facts that do not fit are left out; digests deliver them later.
         """
         sender = to_wire(Claim, state.sender)
         claims = [to_wire(Claim, claim) for claim in state.claims]
@@ -160,17 +160,17 @@
             facts = facts[: len(facts) // 2]
 
     def decode_full_state(self, data: bytes) -> FullState:
-        """Return a full state; raise InvalidMessageError if there is none."""
+        """Return the full state in a message; raise InvalidMessageError if it is invalid."""
         return self._decode(
             FULL_STATE_MAGIC, data, MAX_STREAM_BYTES, _unpack_full_state, _full_state_from_wire
         )
 
     def encode_view(self, view: View) -> bytes:
-        """Return a view, or the question for one, for a stream."""
+        """Return a view, or a request for one, as a message for a stream."""
         return self.seal(VIEW_MAGIC, pack(view))
 
     def decode_view(self, data: bytes) -> View:
-        """Return a view, or the question for one; raise InvalidMessageError if there is none."""
+        """Return the view or request in a message; raise InvalidMessageError if it is invalid."""
         return self._decode(VIEW_MAGIC, data, MAX_STREAM_BYTES, _unpack_view, lambda view: view)
 
 
@@ -195,7 +195,7 @@
 def _envelope_from_wire(body: EnvelopeBody) -> Envelope:
     check_bounds((body.sender, *body.claims))
     if len(body.address) > MAX_ADDRESS_CHARS:
-        raise ValueError("an address is too long")
+        raise ValueError("address is too long")
     message = swim_messages.Message(
         body.kind,
         body.number,
--- a/mothnotch/peers/exchange.py
+++ b/mothnotch/peers/exchange.py
@@ -1,11 +1,11 @@
-"""What roots exchange over a stream: full states, and with operators what they believe.
+"""Exchanges over a stream: full states between roots, and views for operators.
 
-Who calls says hello with a stamp and no facts; who is called answers that stamp with all it holds,
-and the caller that answer's, so that each knows how old at most what it got is. A view is one
-question and one answer.
+In a full state sync, the client sends a hello with a stamp and no facts. The server answers that
+stamp with its full state, and the client answers the server's stamp with its own. So each side has
+an upper bound on the age of what it receives. A view is one request and one response.
 
-Bounds: `codec.MAX_STREAM_BYTES` a message, EXCHANGE_TIMEOUT_S for all of it on either side; the
-service says how many run at once.
+Bounds: `codec.MAX_STREAM_BYTES` per message, EXCHANGE_TIMEOUT_S for an exchange on either side; the
+service bounds the number of concurrent exchanges.
 """
 
 import struct
@@ -18,31 +18,31 @@
 from mothnotch.peers.codec import MAX_STREAM_BYTES, VIEW_MAGIC, Codec, InvalidMessageError
 from mothnotch.peers.wire import View
 
-# An other side that says nothing holds a place of `service.MAX_CALLERS` for so long.
+# A silent client occupies one of the `service.MAX_CALLERS` streams for this long.
 EXCHANGE_TIMEOUT_S = 2.0
 READ_BYTES = 1 << 16
 LENGTH = struct.Struct("<I")
-# What may go wrong with the other side.
+# Failures that the other side or the network may cause.
 EXCHANGE_ERRORS = (*CONNECTION_LOST_ERRORS, EOFError, InvalidMessageError, trio.TooSlowError)
 
 
 async def write_message(stream, data: bytes) -> None:
-    """Send one message behind its length."""
+    """Send one message with its length prefix."""
     await stream.send_all(LENGTH.pack(len(data)) + data)
 
 
 async def read_message(stream) -> bytes:
-    """Return one message.
+    """Read one message and return it.
 
-    Raise EOFError if the other side ends before it is complete, InvalidMessageError if it is too
-    long.
+    Raise EOFError if the stream ends before the message is complete, InvalidMessageError if it is
+    too long.
     """
     data = bytearray()
     wanted = LENGTH.size
     while len(data) < wanted:
         more = await stream.receive_some(min(READ_BYTES, wanted - len(data)))
         if not more:
-            raise EOFError("the other root closed in the midst of a message")
+            raise EOFError("the other root closed the stream before the message was complete")
         data += more
         if wanted == LENGTH.size == len(data):
             wanted += LENGTH.unpack(bytes(data))[0]
@@ -59,9 +59,10 @@
     now_us: Callable[[], int],
     source: str | None = None,
 ) -> None:
-    """Exchange full states with the root at an address, from the host that datagrams come from.
+    """Exchange full states with the root at an address, as the client.
 
-    Raise one of EXCHANGE_ERRORS if that fails.
+    `source` is the host to connect from, which should be the one that datagrams are sent from.
+    Raise one of EXCHANGE_ERRORS on failure.
     """
     with trio.fail_after(EXCHANGE_TIMEOUT_S):
         stream = await network.open(address, source)
@@ -83,9 +84,9 @@
     now_us: Callable[[], int],
     view: Callable[[int], View],
 ) -> None:
-    """Serve one caller: an exchange, or a view (`view(number)` gives it).
+    """Serve one stream: a full state sync, or a request for a view, which `view(number)` returns.
 
-    Raise one of EXCHANGE_ERRORS if that fails.
+    Raise one of EXCHANGE_ERRORS on failure.
     """
     try:
         with trio.fail_after(EXCHANGE_TIMEOUT_S):
@@ -106,14 +107,14 @@
     ours = protocol.full_state(now_us(), hello.stamp)
     await write_message(stream, codec.encode_full_state(ours))
     theirs = codec.decode_full_state(await read_message(stream))
-    # A message recorded earlier answers another stamp: it would make old facts young.
+    # A replayed message answers another stamp. Accepting it would understate the age of its facts.
     if theirs.answers != ours.stamp or theirs.sender.name != hello.sender.name:
         raise InvalidMessageError("stamp")
     protocol.merge_full_state(now_us(), theirs)
 
 
 async def ask_view(network, address: str, codec: Codec, number: int) -> View:
-    """Return the View of the root at an address; raise one of EXCHANGE_ERRORS if that fails."""
+    """Request the View of the root at an address; raise one of EXCHANGE_ERRORS on failure."""
     with trio.fail_after(EXCHANGE_TIMEOUT_S):
         stream = await network.open(address)
         try:
--- a/mothnotch/peers/fleet_views.py
+++ b/mothnotch/peers/fleet_views.py
@@ -1,4 +1,4 @@
-"""What every root of a fleet believes of the others, side by side, for operators."""
+"""Collects and compares the membership views of all roots of a fleet, for operators."""
 
 import trio
 
@@ -8,14 +8,14 @@
 from mothnotch.peers.codec import Codec
 from mothnotch.peers.wire import PeerView, View
 
-MAX_AT_ONCE = 16  # roots asked at once
-MAX_ROOTS = 256  # roots asked at all; as many as a table holds
+MAX_AT_ONCE = 16  # concurrent requests
+MAX_ROOTS = 256  # roots queried in total; the same bound as for a membership table
 
 
 async def collect_views(network, addresses, codec: Codec) -> tuple[dict[str, View], dict[str, str]]:
-    """Return ({address: View}, {address: why there is none}).
+    """Return ({address: View}, {address: reason for failure}).
 
-    From these addresses on, every root is asked that is named by one that answered.
+    The roots at `addresses` are queried first, then every root that appears in a returned view.
     """
     found = {}
     failed = {}
@@ -42,7 +42,7 @@
 
 
 def _addresses_in(views) -> list[str]:
-    """Return the addresses that views name of roots that may be there."""
+    """Return the addresses of the roots behind views and of their members that are not gone."""
     out = []
     for view in views:
         out.append(view.address)
@@ -51,13 +51,13 @@
 
 
 async def describe_fleet(conf, network) -> tuple[list[str], bool]:
-    """Return (lines, whether all roots answered and agree) for a PeersConfig."""
+    """Return (report lines, whether all roots answered and agree) for a PeersConfig."""
     found, failed = await collect_views(
         network,
         dict.fromkeys([conf.listen, *conf.seeds]),
         Codec(conf.fleet, [key.encode() for key in conf.keys]),
     )
-    # A root may answer at several addresses; it is shown once.
+    # A root may answer at several addresses; list it once.
     by_root = {}
     for address, view in found.items():
         by_root.setdefault((view.name, view.incarnation), (address, view))
@@ -73,10 +73,10 @@
 def _describe_view(address: str, view: View) -> list[str]:
     counts_by_state = {state: sum(peer.state == state for peer in view.peers) for state in STATES}
     states = ", ".join(f"{count} {state}" for state, count in counts_by_state.items() if count)
-    isolated = ", holds itself for CUT OFF" if view.isolated else ""
+    isolated = ", considers itself ISOLATED" if view.isolated else ""
     lines = [
-        f"{view.name} at {address}, life {view.incarnation[0]}, up {_seconds(view.up_us)}"
-        f"{isolated}: holds {states or 'nobody'}"
+        f"{view.name} at {address}, incarnation {view.incarnation[0]}, up {_seconds(view.up_us)}"
+        f"{isolated}; members: {states or 'nobody'}"
     ]
     lines += [_describe_peer(peer) for peer in view.peers]
     lines += [
@@ -88,10 +88,11 @@
 
 
 def _describe_peer(peer: PeerView) -> str:
-    indirect = "" if peer.direct else ", only through others"
+    indirect = "" if peer.direct else ", reached only indirectly"
     return (
-        f"  {peer.name:16} {peer.state:8} life {peer.incarnation[0]} {peer.address:22} "
-        f"heard {_seconds(peer.heard_us)} ago, so for {_seconds(peer.since_us)}{indirect}; "
+        f"  {peer.name:16} {peer.state:8} incarnation {peer.incarnation[0]} {peer.address:22} "
+        f"last heard {_seconds(peer.heard_us)} ago, in this state for "
+        f"{_seconds(peer.since_us)}{indirect}; "
         f"{peer.facts} facts, the oldest {_seconds(peer.oldest_us)}"
     )
 
--- a/mothnotch/peers/peer_discovery.py
+++ b/mothnotch/peers/peer_discovery.py
@@ -1,9 +1,8 @@
-"""Addresses of the other roots out of Consul's catalogue: of their own entries, which name them in
-`Meta.peers`.
+"""Discovers the addresses of other roots from `Meta.peers` of their entries in Consul's catalogue.
 
-The catalogue gives addresses and nothing else: who is there, the roots find out from one another.
-Bounds: one query at a time, POLL_TIMEOUT_S for it, as many bytes as any answer of an agent's may
-have; an agent that fails is followed by the next.
+The catalogue only supplies addresses; which roots are alive is decided by the membership protocol.
+Bounds: one query at a time, POLL_TIMEOUT_S per query, the size limit of all agent responses. After
+a failure the next agent is queried.
 """
 
 from collections.abc import Callable
@@ -13,29 +12,30 @@
 from mothnotch.consul import api
 from mothnotch.consul.agent import Agent, AgentError
 
-# Key of the meta under which a root states HOST:PORT of its datagrams.
+# Metadata key under which a root registers HOST:PORT of its datagram socket.
 META_KEY = "peers"
-# How long a new root may stay unknown to one that its own seeds do not lead to.
+# The delay until a new root is known to those that it does not reach through its own seeds.
 POLL_INTERVAL_S = 5.0
 POLL_TIMEOUT_S = 3.0
 
 
 class PeerDiscovery:
-    """Polls the catalogue for the addresses of roots."""
+    """Polls the catalogue for addresses of roots."""
 
     def __init__(
         self, conf, own_number: int, network, log, on_addresses: Callable[[list[str]], None]
     ):
-        """Prepare to poll the agents of a ConsulConfig with `register`, from the root's own on.
+        """Prepare to poll the agents of a ConsulConfig that has `register`.
 
-        `on_addresses` is called with what each answer names.
+        The number of this root, `own_number`, selects the first agent. `on_addresses` is called
+        with the addresses in each response.
         """
         self.conf = conf
         self.log = log
         self.on_addresses = on_addresses
         user_agent = f"mothnotch-peers/{own_number}"
         self.agents = [Agent.of(conf, address, network, user_agent) for address in conf.agents]
-        self._agent_index = own_number  # roots begin at different agents
+        self._agent_index = own_number  # spreads roots over the agents
         self._is_failing = False
 
     async def run(self) -> None:
@@ -68,10 +68,10 @@
         self.on_addresses([one.meta[META_KEY] for one in instances if META_KEY in one.meta])
 
     def _on_failure(self, agent: Agent, error: Exception) -> None:
-        """Go on with the next agent; only the first of failures in a row is logged."""
+        """Switch to the next agent, and log only the first of consecutive failures."""
         if not self._is_failing:
             self.log.warning(
-                "addresses of the other roots cannot be had",
+                "peer discovery failed",
                 agent=agent.address,
                 error=str(error) or f"no answer in {POLL_TIMEOUT_S:g} s",
             )
--- a/mothnotch/peers/service.py
+++ b/mothnotch/peers/service.py
@@ -1,11 +1,11 @@
-"""A root's part in the gossip of its fleet: datagrams, and streams to the same address.
+"""Runs a root's side of the gossip protocol over a datagram socket and a stream listener.
 
-What is said is decided in decisions/fleet/.
+Both use the same address. The protocol itself is in decisions/fleet/.
 
-Bounds: datagrams of codec.MAX_DATAGRAM_BYTES; `rate_limit` says how many a second are read for what
-they hold, so that a flood costs no more than taking them from the socket; one task reads and one
-keeps the time. Of streams MAX_CALLERS are served at once, what comes beyond is closed; one exchange
-is under way from here at most.
+Bounds: codec.MAX_DATAGRAM_BYTES per datagram; `rate_limit` bounds the datagrams decoded per second,
+so that a flood costs only their receipt. One task receives datagrams and one runs the timers. At
+most MAX_CALLERS incoming streams are served at once, and further ones are closed; at most one
+outgoing full state sync is in progress.
 """
 
 import trio
@@ -22,25 +22,25 @@
 from mothnotch.peers.codec import MAX_DATAGRAM_BYTES, Codec, InvalidMessageError
 from mothnotch.peers.wire import Fact, PeerView, View, to_wire
 
-# Streams served at once: each may hold a message of codec.MAX_STREAM_BYTES.
+# Incoming streams served at once; each may buffer a message of codec.MAX_STREAM_BYTES.
 MAX_CALLERS = 8
-# Facts that a view names: with values of the greatest size they still fit into one message.
+# Facts in a view; with values of the maximum size they still fit into one message.
 MAX_FACTS_SHOWN = 256
-# Ports that are tried where any will do, until one is free for datagrams and streams.
+# Attempts to find a port that is free for both datagrams and streams, if the port is 0.
 MAX_PORTS_TRIED = 20
-# The time keeper sleeps at least so long: what is always due must not take the processor.
+# The minimum sleep of the timer task, so that a deadline that is always due cannot use all CPU.
 MIN_SLEEP_S = 0.001
-# Dropped messages are logged at these counts: a flood must not fill the log.
+# The counts at which dropped messages are logged, so that a flood does not fill the log.
 LOGGED_DROP_COUNTS = (1, 100, 10_000)
 
 
 def now_us() -> int:
-    """Return this root's own monotonic clock, microseconds."""
+    """Return the time of this root's monotonic clock, microseconds."""
     return int(trio.current_time() * 1e6)
 
 
 class PeerService:
-    """Carries messages between the network and the decisions, for one process of a root."""
+    """Connects one root process's gossip protocol with the network."""
 
     def __init__(
         self,
@@ -57,8 +57,8 @@
     ):
         """Prepare to listen at HOST:PORT.
 
-        `incarnation`: (number, nonce) of this process; `seeds`: addresses that are called until
-        somebody answers there; `fleet`, `keys`: see Codec; `random` is a random.Random.
+        `incarnation` is this process's (number, nonce). `seeds` are addresses that are pinged until
+        a member answers there. For `fleet` and `keys` see Codec. `random` is a random.Random.
         """
         self.network = network
         self.log = log
@@ -76,14 +76,14 @@
         self.datagrams_read = 0
         self.socket = None
         self.protocol = None
-        # Is given the protocol before it speaks: for fault injection with planted defects.
+        # Called with the protocol before its first message; lets tests inject defects.
         self.on_protocol_made = lambda protocol: None
         self._due_changed = trio.Event()
         self._is_exchanging = False
         self._began_us = now_us()
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; started once it is bound. Raise OSError if it cannot be."""
+        """Run until cancelled; report as started once bound. Raise OSError if binding fails."""
         self.socket, listeners = await self._bind()
         try:
             self.protocol = self._make_protocol()
@@ -102,7 +102,7 @@
                 task_status.started(self)
         finally:
             self.socket.close()
-            with trio.CancelScope(shield=True):  # closing takes no time; it must not be left out
+            with trio.CancelScope(shield=True):  # listeners must be closed even on cancellation
                 for listener in listeners:
                     await listener.aclose()
 
@@ -120,7 +120,7 @@
         return GossipProtocol(swim, store, GossipSettings(), self.random, now_us())
 
     async def _bind(self):
-        """Return (datagrams, listeners) at one address."""
+        """Return (datagram socket, stream listeners) bound to one address."""
         for _ in range(MAX_PORTS_TRIED):
             found = await self.network.datagrams(self.listen)
             try:
@@ -163,7 +163,7 @@
         self._log_changes()
 
     def _view(self, number: int) -> View:
-        """Return what this root believes, for operators."""
+        """Return this root's view of the fleet, for operators."""
         now = now_us()
         own = self.protocol.swim.membership.own_claim
         facts = self.protocol.full_state(now, now).facts[:MAX_FACTS_SHOWN]
@@ -219,7 +219,7 @@
                 self._drop(error.reason)
                 continue
             self._send(self.protocol.on_envelope(now_us(), address, envelope))
-            self._due_changed.set()  # what is due may be due sooner now
+            self._due_changed.set()  # the next deadline may be earlier now
 
     async def _keep_time(self) -> None:
         while True:
@@ -247,30 +247,35 @@
 
     def _log_changes(self) -> None:
         for change in self.protocol.swim.take_changes():
-            self.log.info("peer", what=change.kind.value, name=change.name, life=change.incarnation)
+            self.log.info(
+                "membership changed",
+                what=change.kind.value,
+                name=change.name,
+                life=change.incarnation,
+            )
 
     def _drop(self, reason: str) -> None:
-        """Count a message or a stream that is dropped."""
+        """Count a dropped datagram or stream."""
         self.dropped[reason] = self.dropped.get(reason, 0) + 1
         if self.dropped[reason] in LOGGED_DROP_COUNTS:
-            self.log.warning("datagrams dropped", why=reason, count=self.dropped[reason])
+            self.log.warning("message dropped", why=reason, count=self.dropped[reason])
 
-    # ---- for the program ----
+    # ---- interface to the root ----
 
     def publish(self, key: str, value: bytes, ttl_us: int) -> None:
-        """State a fact of this root's; raise ValueError as GossipStore.publish does."""
+        """Publish a fact of this root; raise ValueError like GossipStore.publish."""
         self.protocol.store.publish(key, value, ttl_us, now_us())
         self._due_changed.set()
 
     def set_discovered(self, addresses: list[str]) -> None:
-        """Take the addresses of roots that the catalogue names."""
+        """Replace the seed addresses discovered in the catalogue."""
         self.protocol.swim.seeds.set_discovered(addresses, now_us())
         self._due_changed.set()
 
     def known(self, key: str) -> dict[str, KnownFact]:
-        """Return what still counts of a key, by root."""
+        """Return the facts of a key that have not expired, by origin."""
         return self.protocol.store.known(key, now_us())
 
     def beliefs(self) -> list[Belief]:
-        """Return what is believed of each peer."""
+        """Return the state of each peer."""
         return self.protocol.swim.membership.beliefs(now_us())
--- a/mothnotch/peers/wire.py
+++ b/mothnotch/peers/wire.py
@@ -1,7 +1,7 @@
-"""The structs that roots send each other, as msgpack arrays.
+"""The structs of messages between roots, encoded as msgpack arrays.
 
-Only the order of the fields is on the wire, not their names: a newer release appends fields, an
-older one skips them; of the same fields each reads the other's messages.
+Only the order of the fields is on the wire, not their names. Newer releases may only append fields
+with defaults, and older ones skip them, so that both read each other's messages.
 """
 
 import msgspec
@@ -11,11 +11,11 @@
 
 
 class WireStruct(msgspec.Struct, array_like=True):
-    """A struct whose fields travel by position."""
+    """A struct whose fields are encoded by position."""
 
 
 class Claim(WireStruct):
-    """A swim_messages.Claim."""
+    """The wire form of swim_messages.Claim."""
 
     name: str
     incarnation: tuple[int, int]
@@ -25,7 +25,7 @@
 
 
 class Fact(WireStruct):
-    """A gossip_messages.Fact."""
+    """The wire form of gossip_messages.Fact."""
 
     origin: str
     incarnation: tuple[int, int]
@@ -37,7 +37,7 @@
 
 
 class DigestEntry(WireStruct):
-    """A gossip_messages.DigestEntry."""
+    """The wire form of gossip_messages.DigestEntry."""
 
     origin: str
     incarnation: tuple[int, int]
@@ -46,7 +46,7 @@
 
 
 class EnvelopeBody(WireStruct):
-    """A gossip_messages.Envelope, its message's fields first."""
+    """The wire form of gossip_messages.Envelope, with the message's fields first."""
 
     kind: str
     number: int
@@ -63,7 +63,7 @@
 
 
 class FullStateBody(WireStruct):
-    """A gossip_messages.FullState."""
+    """The wire form of gossip_messages.FullState."""
 
     sender: Claim
     stamp: int
@@ -73,7 +73,7 @@
 
 
 class PeerView(WireStruct):
-    """One peer as a root holds it. Ages in microseconds; -1: never heard."""
+    """One peer in a root's view. Ages are in microseconds; `heard_us` is -1 if never heard."""
 
     name: str
     incarnation: tuple[int, int]
@@ -87,7 +87,7 @@
 
 
 class View(WireStruct):
-    """What a root believes: asked for with `number` alone, answered with the same number."""
+    """A root's view of its fleet. A request has only `number`, which the response repeats."""
 
     number: int
     name: str = ""
@@ -101,21 +101,21 @@
 
 
 def to_wire(kind, source):
-    """Return a struct of the wire from one of the decisions' that has the same fields."""
+    """Convert a dataclass of decisions/fleet/ to the wire struct `kind`, by equal field names."""
     return kind(*(getattr(source, name) for name in kind.__struct_fields__))
 
 
 def from_wire(kind, source):
-    """Return one of the decisions' structs from one of the wire that has the same fields."""
+    """Convert a wire struct to the dataclass `kind` of decisions/fleet/, by equal field names."""
     return kind(*(getattr(source, name) for name in source.__struct_fields__))
 
 
 def check_bounds(claims) -> None:
-    """Raise ValueError if a claim's name or address is too long, or its refutation below zero."""
+    """Raise ValueError if a claim's name or address is too long or its refutation is negative."""
     for claim in claims:
         if (
             len(claim.name) > MAX_NAME_CHARS
             or len(claim.address) > MAX_ADDRESS_CHARS
             or claim.refutation < 0
         ):
-            raise ValueError("a name or an address is too long")
+            raise ValueError("claim has a too long name or address, or a negative refutation")
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -628,22 +628,22 @@
     "views, said",
     [
         ([Seen("a", peers=[Seen("b")]), Seen("b", peers=[Seen("a")])], []),
-        ([Seen("a"), Seen("b", peers=[Seen("a")])], ["a does not know b"]),
+        ([Seen("a"), Seen("b", peers=[Seen("a")])], ["a has no entry for b, which answers"]),
         (
             [Seen("a", peers=[Seen("b", 1)]), Seen("b", 2, peers=[Seen("a")])],
-            ["a holds b in life 1, and it is in 2"],
+            ["a believes that b is in incarnation 1, but it is in 2"],
         ),
         (
             [Seen("a", peers=[Seen("b", state="gone")]), Seen("b", peers=[Seen("a")])],
-            ["a holds b for gone, and it answers"],
+            ["a believes that b is gone, but it answers"],
         ),
-        ([Seen("a", 1), Seen("a", 2)], ["2 roots run under the name a"]),
+        ([Seen("a", 1), Seen("a", 2)], ["2 roots use the name a"]),
         (
             [
                 Seen("a", peers=[Seen("b"), Seen("c")]),
                 Seen("b", peers=[Seen("a"), Seen("c", state="gone")]),
             ],
-            ["c does not answer: a holds it for alive, b holds it for gone"],
+            ["c does not answer: a believes that it is alive, b believes that it is gone"],
         ),
     ],
 )
