--- a/mothnotch/decisions/balancer/admission.py
+++ b/mothnotch/decisions/balancer/admission.py
@@ -42,41 +42,43 @@
         self._work_estimates = work_estimates
         self._value_ranks = Ranks(RANKED_QUERIES)
 
-    def begin(self, query: Query, parts: list[Part]) -> None:
+    def admit(self, query: Query, parts: list[Part]) -> None:
         """Reject a query that would come too late; send its new parts but those too late.
 
         Parts too late are left out only where the others may make an answer.
         """
         late = self._late_parts(query, parts) if query.is_open and query.step == 1 else []
-        self._reject_if_hopeless(query, late)
+        self._reject_if_needed(query, late)
         query_class = query.query_class
         needed_weight = 1.0
         if query.step == 1:
             needed_weight = query_class.complete_weight - WEIGHT_TOLERANCE
         if needed_weight < 1 - 2 * WEIGHT_TOLERANCE:
             # Work not needed is not asked for: the quickest parts are.
-            known = {}
-            parts = sorted(parts, key=lambda part: self._placement.least_latency_us(part, known))
+            latency_cache = {}
+            parts = sorted(
+                parts, key=lambda part: self._placement.least_latency_us(part, latency_cache)
+            )
         may_leave_out = query_class.min_answer_weight < query_class.complete_weight
         asked_weight = 0.0
         for part in parts:
             if part in late and may_leave_out:
-                self._answers.lose(part)
+                self._answers.mark_lost(part)
             elif asked_weight >= needed_weight:
                 query.spare_parts.append(part)  # stands in for one that fails or is stuck
             else:
                 asked_weight += part.weight
-                self._sender.place(part)
+                self._sender.dispatch(part)
 
-    def _reject_if_hopeless(self, query, late):
+    def _reject_if_needed(self, query, late):
         is_quarantined = self._quarantine.contains(query.key, self._turn.now_us)
         if not query.is_open:
             return
         in_time_weight = 1 - sum(part.weight for part in late)
         if is_quarantined:
-            self._answers.give_up(query, "its key is distrusted")
+            self._answers.reject_or_fail(query, "its key is distrusted")
         elif in_time_weight < query.query_class.min_weight - WEIGHT_TOLERANCE:
-            self._answers.give_up(query, "would come too late for its worth")
+            self._answers.reject_or_fail(query, "would come too late for its worth")
 
     def _late_parts(self, query, parts):
         """The parts that would come too late: more of them the less value for its cost work has.
@@ -103,7 +105,9 @@
             value
         )
         allowed_us = left_us * time_share
-        known = {}
+        latency_cache = {}
         return [
-            part for part in parts if self._placement.least_latency_us(part, known) > allowed_us
+            part
+            for part in parts
+            if self._placement.least_latency_us(part, latency_cache) > allowed_us
         ]
--- a/mothnotch/decisions/balancer/answers.py
+++ b/mothnotch/decisions/balancer/answers.py
@@ -12,7 +12,7 @@
     Settings,
 )
 
-REJECT_PAUSE_US = 300_000  # advice to a rejected client, before it asks again
+REJECT_RETRY_AFTER_US = 300_000  # advice to a rejected client, before it asks again
 WEIGHT_TOLERANCE = 1e-4  # sums of weights may fall short by rounding
 
 
@@ -42,40 +42,42 @@
         query_class = query.query_class
         now_us = self._turn.now_us
         # A second step without parts is not over: they are still to come.
-        is_over = query.parts and all(part.is_answered or part.is_lost for part in query.parts)
+        all_parts_ended = query.parts and all(
+            part.is_answered or part.is_lost for part in query.parts
+        )
         if query.step == 1:
             is_complete = query.answered_weight >= query_class.complete_weight - WEIGHT_TOLERANCE
         else:
-            is_complete = is_over and not query.lost_weight
-        most_possible = 1 - query.lost_weight
+            is_complete = all_parts_ended and not query.lost_weight
+        max_possible_weight = 1 - query.lost_weight
         if is_complete:
             self._answer(query, query.first_step_complete)
         elif (
-            is_over or now_us >= query.objective_at_us
+            all_parts_ended or now_us >= query.objective_at_us
         ) and query.answered_weight >= query_class.min_answer_weight - WEIGHT_TOLERANCE:
             self._answer(query, False)
         elif now_us >= query.give_up_at_us:
-            self.give_up(query, "its time is over")
-        elif is_over or most_possible < query_class.min_weight - WEIGHT_TOLERANCE:
-            self.give_up(query, "too many parts are lost")
+            self.reject_or_fail(query, "its time is over")
+        elif all_parts_ended or max_possible_weight < query_class.min_weight - WEIGHT_TOLERANCE:
+            self.reject_or_fail(query, "too many parts are lost")
 
-    def lose(self, part: Part) -> None:
+    def mark_lost(self, part: Part) -> None:
         """Count a part as lost, which may end its query."""
         part.is_lost = True
         part.query.lost_weight += part.weight
         self.resolve(part.query)
 
-    def give_up(self, query: Query, reason: str) -> None:
+    def reject_or_fail(self, query: Query, reason: str) -> None:
         """Give the final answer of a query that is given up, at once.
 
         It is rejected only where asking again is harmless, and else failed.
         """
         is_idempotent = query.query_class.idempotency is Idempotency.IDEMPOTENT
         if is_idempotent or not any(part.may_have_run_us for part in query.parts):
-            pause_us = self._settings.limits.max_retry_after_us
+            retry_after_us = self._settings.limits.max_retry_after_us
             if self._turn.now_us < query.give_up_at_us:
-                pause_us = min(REJECT_PAUSE_US, pause_us)
-            self._turn.emit(Reject(query.id, pause_us, reason))
+                retry_after_us = min(REJECT_RETRY_AFTER_US, retry_after_us)
+            self._turn.emit(Reject(query.id, retry_after_us, reason))
         else:
             self._turn.emit(Fail(query.id, reason))
         self._close(query)
--- a/mothnotch/decisions/balancer/arrivals.py
+++ b/mothnotch/decisions/balancer/arrivals.py
@@ -63,4 +63,4 @@
     def begin_queries(self) -> None:
         """Begin what came in this turn: after all events, so that sends share calls."""
         for query, parts in self._new_parts.items():
-            self._admission.begin(query, parts)
+            self._admission.admit(query, parts)
--- a/mothnotch/decisions/balancer/attempt_results.py
+++ b/mothnotch/decisions/balancer/attempt_results.py
@@ -43,13 +43,13 @@
         result = event.result
         attempt.close(result, self._turn.now_us)
         # A connection that broke after it was idle says little of the server.
-        was_stale = result is Result.BROKEN and attempt.idle_us >= IDLE_US // 2
-        server_died = result is Result.BROKEN and not was_stale
+        was_idle_reset = result is Result.BROKEN and attempt.idle_us >= IDLE_US // 2
+        server_died = result is Result.BROKEN and not was_idle_reset
         if result is Result.UNREACHABLE and part.reconnect_to is attempt.server:
             server_died = True
         self._record_idle_outcome(attempt, result, event.latency_us)
-        part.reconnect_to = attempt.server if was_stale else None
-        if not was_stale and result is not Result.UNSENT:
+        part.reconnect_to = attempt.server if was_idle_reset else None
+        if not was_idle_reset and result is not Result.UNSENT:
             self._learn(attempt, result, event.latency_us)
         if server_died:
             self._record_death(query.key, attempt.server)
@@ -61,7 +61,7 @@
             part.is_held = True
             self._retries.release_held(query)
         elif not part.in_flight:
-            self._retry(part, result, was_stale)
+            self._retry(part, result, was_idle_reset)
 
     def _record_idle_outcome(self, attempt, result, latency_us):
         # A reset is noticed at once; silence costs the latency objective.
@@ -93,9 +93,9 @@
         self._answers.resolve(query)
         self._retries.release_held(query)
 
-    def _retry(self, part: Part, result: Result, was_stale: bool):
+    def _retry(self, part: Part, result: Result, was_idle_reset: bool):
         # An attempt that reached no server made no work for any: the next holder is tried without a
         # token.
-        if result is Result.UNREACHABLE and self._placement.has_untried_holder(part):
-            part.retry_is_paid = True
-        self._retries.retry(part, is_free=was_stale)
+        if result is Result.UNREACHABLE and self._placement.has_untried_replica(part):
+            part.retry_is_charged = True
+        self._retries.retry(part, is_free=was_idle_reset)
--- a/mothnotch/decisions/balancer/balancer.py
+++ b/mothnotch/decisions/balancer/balancer.py
@@ -44,7 +44,7 @@
     def __init__(self, settings: Settings, seed):
         """Make it for these settings; all that it draws comes from the seed."""
         self.settings = settings
-        self.latency_objective_us = max(
+        self.longest_objective_us = max(
             query_class.latency_objective_us for query_class in settings.classes.values()
         )
         self.turn = turn = Turn()
@@ -53,13 +53,13 @@
         quarantine = KeyQuarantine()
         quotas = TenantQuotas(settings)
         self.queries = OpenQueries()
-        self.work_estimates = WorkEstimates(self.latency_objective_us)
+        self.work_estimates = WorkEstimates(self.longest_objective_us)
         self.retry_limits = RetryLimits(settings)
         self.predictor = BusyPeriodPredictor(rng)
         Relearning(turn, self.predictor, settings.tick_us)
         self.discovery = Discovery(turn, settings, rng, fleet)
         self.placement = Placement(
-            turn, settings, self.discovery, self.predictor, self.latency_objective_us
+            turn, settings, self.discovery, self.predictor, self.longest_objective_us
         )
         answers = Answers(turn, settings, self.queries)
         self.sender = Sender(turn, settings, self.placement, answers, self.retry_limits, fleet)
@@ -98,7 +98,7 @@
 
     @property
     def servers(self) -> dict:
-        """The servers that are known, by id."""
+        """The known servers, by id."""
         return self.discovery.servers
 
     @property
--- a/mothnotch/decisions/balancer/busy_periods.py
+++ b/mothnotch/decisions/balancer/busy_periods.py
@@ -12,10 +12,10 @@
 BUSY_LATENCY_MULTIPLE = 1.6  # of the median: over it, with low throughput, a busy period starts
 BUSY_THROUGHPUT_MULTIPLE = 0.6  # of the median: under it
 NOISE_ANSWERS = 3  # busy runs up to this long are noise
-RUN_ANSWERS = 50  # of a busy period that are remembered: an eighth of the predictor's samples
+RUN_ANSWERS_MAX = 50  # of a busy period that are remembered: an eighth of the predictor's samples
 
 
-class LabelledMeans(RunningMeans):
+class BusyPeriodLabeler(RunningMeans):
     """The running means of one server, by which its answers are labelled."""
 
     def __init__(self):
@@ -29,21 +29,21 @@
         That is [(attempt, 1 if it met a busy period else 0)]. The calm level is the better of the
         server's and the fleet's medians: a server slow from the start has a slow median of its own.
         """
-        calm_latency_us = min(self.median_latency_us or math.inf, fleet.median_latency_us)
-        calm_throughput = max(self.median_throughput or 0, fleet.median_throughput)
+        baseline_latency_us = min(self.median_latency_us or math.inf, fleet.median_latency_us)
+        baseline_throughput = max(self.median_throughput or 0, fleet.median_throughput)
         if self._busy_run is not None:
-            return self._continue_run(attempt, calm_throughput)
-        is_slow = attempt.latency_us > BUSY_LATENCY_MULTIPLE * calm_latency_us
-        is_thin = attempt.throughput < BUSY_THROUGHPUT_MULTIPLE * calm_throughput
-        if is_slow and is_thin:
-            self._busy_run = deque([attempt], maxlen=RUN_ANSWERS)
-        if is_slow or is_thin:
+            return self._continue_run(attempt, baseline_throughput)
+        is_slow = attempt.latency_us > BUSY_LATENCY_MULTIPLE * baseline_latency_us
+        is_low_throughput = attempt.throughput < BUSY_THROUGHPUT_MULTIPLE * baseline_throughput
+        if is_slow and is_low_throughput:
+            self._busy_run = deque([attempt], maxlen=RUN_ANSWERS_MAX)
+        if is_slow or is_low_throughput:
             return []  # a lone slow answer is dropped
         return [(attempt, 0)]
 
-    def _continue_run(self, attempt, calm_throughput):
+    def _continue_run(self, attempt, baseline_throughput):
         run = self._busy_run
-        if attempt.throughput >= calm_throughput:
+        if attempt.throughput >= baseline_throughput:
             self._busy_run = None  # a run that was too short ends unlabelled
             return [(attempt, 0)]
         run.append(attempt)
--- a/mothnotch/decisions/balancer/discovery.py
+++ b/mothnotch/decisions/balancer/discovery.py
@@ -33,8 +33,8 @@
         self._settings = settings
         self._rng = rng
         self._fleet = fleet
-        self._zones = {}  # name -> failure rate of the zone
-        self._cells = {}  # cell -> servers that are up in it
+        self._zone_failures = {}  # name -> failure rate of the zone
+        self._servers_by_cell = {}  # cell -> servers that are up in it
         self._backoff_us = 0
 
     def on_watch_event(self, event: WatchEvent) -> None:
@@ -52,19 +52,19 @@
             for server in self.servers.values():
                 server.up = server.up and server.id in listed
         self._forget_unlisted()
-        self._cells = {}
+        self._servers_by_cell = {}
         for server in self.servers.values():
             if server.up:
-                self._cells.setdefault(server.cell, []).append(server)
+                self._servers_by_cell.setdefault(server.cell, []).append(server)
 
-    def holders(self, shard: int) -> list[Server]:
+    def replicas(self, shard: int) -> list[Server]:
         """Return the servers that hold the shard, in no order that means anything."""
-        cells = self._settings.cell_count
-        reach = min(self._settings.cells_per_shard, cells)
+        cell_count = self._settings.cell_count
+        cells_per_shard = min(self._settings.cells_per_shard, cell_count)
         return [
             server
-            for step in range(reach)
-            for server in self._cells.get((shard + step) % cells, ())
+            for offset in range(cells_per_shard)
+            for server in self._servers_by_cell.get((shard + offset) % cell_count, ())
         ]
 
     def _subscribe_later(self):
@@ -84,7 +84,7 @@
             self.servers[endpoint.server] = server
         server.cell = endpoint.cell
         server.up = endpoint.state == "up"
-        server.zone = self._zones.setdefault(endpoint.zone, RunningShare())
+        server.zone_failures = self._zone_failures.setdefault(endpoint.zone, RunningShare())
         server.weight = endpoint.weight if 0 < endpoint.weight < math.inf else 1.0
         if endpoint.started_us > server.slow_start.started_us:
             server.reset(self._turn.now_us)
--- a/mothnotch/decisions/balancer/placement.py
+++ b/mothnotch/decisions/balancer/placement.py
@@ -11,7 +11,7 @@
 from mothnotch.decisions.balancer.turn import Turn
 from mothnotch.decisions.interface import Idempotency, QueryClass, Settings
 
-VERDICTS_MAX = 32  # predictions a query may ask for; one for each server of a wide query
+MAX_PREDICTIONS_PER_QUERY = 32  # one for each server of a wide query
 BUSY_PROBABILITY = 0.5  # above it a server is taken to be in a busy period
 
 # A server silent for so many latency objectives gets its next part unjudged: without a trial
@@ -37,15 +37,15 @@
         self._predictor = predictor
         self._trial_after_us = TRIAL_AFTER_OBJECTIVES * longest_objective_us
 
-    def holders(self, part: Part) -> list[Server]:
+    def replicas(self, part: Part) -> list[Server]:
         """Return the servers that hold the part's shard, in no order that means anything."""
-        return self._discovery.holders(part.shard)
+        return self._discovery.replicas(part.shard)
 
-    def ready_holders(self, part: Part) -> list[Server]:
+    def ready_replicas(self, part: Part) -> list[Server]:
         """Return the holders with capacity for the part, in hash order: its home first."""
         weighted = [
             (server.weight if self._settings.has_endpoint_weights else 1.0, server.id, server)
-            for server in self.holders(part)
+            for server in self.replicas(part)
         ]
         return [
             server
@@ -53,24 +53,24 @@
             if server.slow_start.admits(self._turn.now_us, part.cost_us)
         ]
 
-    def has_untried_holder(self, part: Part) -> bool:
+    def has_untried_replica(self, part: Part) -> bool:
         """Return whether some holder of the part's shard has had no attempt of it."""
-        return any(server not in part.servers_tried for server in self.holders(part))
+        return any(server not in part.servers_tried for server in self.replicas(part))
 
-    def first_choice(self, part: Part, ready: list[Server]) -> Server:
+    def choose_first(self, part: Part, ready: list[Server]) -> Server:
         """Return the server for a part's first attempt, out of the ready holders in hash order."""
         home = ready[0]
         is_repeatable = part.query.query_class.idempotency is not Idempotency.NOT_IDEMPOTENT
         if self._is_due_for_trial(home, part.query.query_class) and is_repeatable:
             return home
-        if not self._is_slow(home, part):
+        if not self._should_avoid(home, part):
             return home
-        # All are judged, not just up to the first that will do: a query's verdicts are bounded, and
-        # which servers have one counts for its later parts.
-        others = [server for server in ready[1:] if not self._is_slow(server, part)]
+        # Check all of them instead of stopping at the first good one: the number of predictions per
+        # query is bounded, and which servers have one affects the query's later parts.
+        others = [server for server in ready[1:] if not self._should_avoid(server, part)]
         return others[0] if others else home
 
-    def best(self, servers: Iterable[Server], query_class: QueryClass) -> Server | None:
+    def best_server(self, servers: Iterable[Server], query_class: QueryClass) -> Server | None:
         """Return the server with the least expected latency, outliers last; None out of none."""
         now_us = self._turn.now_us
         return min(
@@ -82,37 +82,41 @@
             default=None,
         )
 
-    def least_latency_us(self, part: Part, known: dict[Server, float]) -> float:
+    def least_latency_us(self, part: Part, latency_cache: dict[Server, float]) -> float:
         """Return the least latency to expect for a part; infinity if nobody holds its shard.
 
         `known` caches the latencies worked out for its query, by server.
         """
-        holders = self.holders(part)
-        for server in holders:
-            if server not in known:
-                known[server] = server.expected_latency_us(
+        replicas = self.replicas(part)
+        for server in replicas:
+            if server not in latency_cache:
+                latency_cache[server] = server.expected_latency_us(
                     self._turn.now_us, part.query.query_class
                 )
-        return min((known[server] for server in holders), default=math.inf)
+        return min((latency_cache[server] for server in replicas), default=math.inf)
 
     def _is_due_for_trial(self, server, query_class):
         # One trial stands for all of a zone that fails: as many as it has servers would spend the
         # retry budget.
         zone_outcome_us = 0
         if server.failure_rate(self._turn.now_us, query_class) > OUTLIER_FAILURE_RATE:
-            zone_outcome_us = server.zone.last_outcome_us
+            zone_outcome_us = server.zone_failures.last_outcome_us
         last_us = max(server.last_heard_us, server.last_sent_us, zone_outcome_us)
         return self._turn.now_us - last_us > self._trial_after_us
 
-    def _is_slow(self, server, part):
+    def _should_avoid(self, server, part):
         """An outlier, or predicted to be busy: one prediction a query and server."""
-        verdicts = part.query.verdicts
-        unit = self._predictor.unit
-        if unit and server.id not in verdicts and len(verdicts) < VERDICTS_MAX:
+        busy_predictions = part.query.busy_predictions
+        model = self._predictor.model
+        if (
+            model
+            and server.id not in busy_predictions
+            and len(busy_predictions) < MAX_PREDICTIONS_PER_QUERY
+        ):
             inputs = server.predictor_inputs(self._turn.now_us, part.cost_us)
-            verdicts[server.id] = unit.probability(inputs) > BUSY_PROBABILITY
+            busy_predictions[server.id] = model.probability(inputs) > BUSY_PROBABILITY
         is_outlier = server.is_outlier(self._turn.now_us, part.query.query_class)
-        return is_outlier or verdicts.get(server.id, False)
+        return is_outlier or busy_predictions.get(server.id, False)
 
 
 def rendezvous_order(name: str, weighted: Iterable[tuple]) -> list:
--- a/mothnotch/decisions/balancer/predictor.py
+++ b/mothnotch/decisions/balancer/predictor.py
@@ -21,20 +21,20 @@
 LEARNING_RATE = 0.3  # gradient step
 RELEARNING_PASSES = 12  # over all samples; one a turn
 SAMPLES = 400  # labelled answers remembered for a relearning
-JUDGED_ANSWERS_MIN = 6  # of a server, for its accuracy to count
+ACCURACY_ANSWERS_MIN = 6  # of a server, for its accuracy to count
 ACCURACY_MIN = 0.8  # below it the unit is learned anew
 LOGIT_MAX = 30.0  # keeps exp() far from overflow
 
 
-class LogisticUnit:
+class LogisticModel:
     """One logistic unit on min-max scaled inputs, scaled as the samples it is made for."""
 
-    def __init__(self, samples, bounds, rate: float):
-        """Make it for [(inputs, label)]; each weight stays within its bounds (least, most)."""
+    def __init__(self, samples, bounds, learning_rate: float):
+        """Make it for [(inputs, label)]; each weight stays within its bounds (lower, upper)."""
         columns = list(zip(*(inputs for inputs, _ in samples), strict=True))
         self.bounds = bounds
-        self.rate = rate
-        self.spans = [(min(column), max(column)) for column in columns]
+        self.learning_rate = learning_rate
+        self.input_ranges = [(min(column), max(column)) for column in columns]
         self.weights = [0.0] * (len(columns) + 1)
         self.samples = [(self._scaled(inputs), label) for inputs, label in samples]
 
@@ -42,7 +42,7 @@
         """Make one pass of gradient steps over the samples it was made for, in a drawn order."""
         rng.shuffle(self.samples)
         for scaled, label in self.samples:
-            self._fit(scaled, label)
+            self._gradient_step(scaled, label)
 
     def probability(self, inputs) -> float:
         """Return the probability of label 1."""
@@ -50,11 +50,12 @@
 
     def train(self, inputs, label: int) -> None:
         """Make one gradient step."""
-        self._fit(self._scaled(inputs), label)
+        self._gradient_step(self._scaled(inputs), label)
 
     def _scaled(self, inputs):
         scaled = [
-            _scale(value, low, high) for value, (low, high) in zip(inputs, self.spans, strict=True)
+            _scale(value, low, high)
+            for value, (low, high) in zip(inputs, self.input_ranges, strict=True)
         ]
         scaled.append(1.0)  # the input of the bias
         return scaled
@@ -63,15 +64,15 @@
         logit = sum(map(mul, self.weights, scaled))
         return 1 / (1 + math.exp(-max(-LOGIT_MAX, min(LOGIT_MAX, logit))))
 
-    def _fit(self, scaled, label):
-        step = self.rate * (label - self._output(scaled))
+    def _gradient_step(self, scaled, label):
+        step = self.learning_rate * (label - self._output(scaled))
         weights = []
-        for weight, value, (least, most) in zip(self.weights, scaled, self.bounds, strict=True):
+        for weight, value, (lower, upper) in zip(self.weights, scaled, self.bounds, strict=True):
             weight += step * value
-            if weight < least:
-                weight = least
-            elif weight > most:
-                weight = most
+            if weight < lower:
+                weight = lower
+            elif weight > upper:
+                weight = upper
             weights.append(weight)
         self.weights = weights
 
@@ -81,8 +82,8 @@
 
     def __init__(self, rng):
         """Make it without a unit: until the first relearning all servers count as fast."""
-        self.unit = None
-        self.relearning = None  # the unit that is being learned
+        self.model = None
+        self.next_model = None  # the unit that is being learned
         self.passes_left = 0
         self.samples = deque(maxlen=SAMPLES)  # (inputs, label)
         self.accuracy_counts = {}  # server -> (predicted right, labelled) since the last check
@@ -91,11 +92,11 @@
     def learn(self, attempt, label: int) -> None:
         """Take in an answer; label 1 means that it met a busy period."""
         self.samples.append((attempt.inputs, label))
-        if attempt.admitted:  # which means that it was predicted to be fast
+        if attempt.to_home:  # which means that it was predicted to be fast
             right, labelled = self.accuracy_counts.get(attempt.server.id, (0, 0))
             self.accuracy_counts[attempt.server.id] = right + (not label), labelled + 1
-        if self.unit:
-            self.unit.train(attempt.inputs, label)
+        if self.model:
+            self.model.train(attempt.inputs, label)
 
     def check_accuracy(self) -> float:
         """Return the accuracy at the worst server since the last check; begin to relearn if low.
@@ -106,14 +107,14 @@
             (
                 right / labelled
                 for right, labelled in self.accuracy_counts.values()
-                if labelled >= JUDGED_ANSWERS_MIN
+                if labelled >= ACCURACY_ANSWERS_MIN
             ),
             default=1.0,
         )
         self.accuracy_counts = {}
         if worst < ACCURACY_MIN:
             self.passes_left = RELEARNING_PASSES
-            self.relearning = LogisticUnit(self.samples, WEIGHT_BOUNDS, LEARNING_RATE)
+            self.next_model = LogisticModel(self.samples, WEIGHT_BOUNDS, LEARNING_RATE)
         return worst
 
     def relearn_pass(self) -> bool:
@@ -122,12 +123,12 @@
         The new unit takes over with the last pass. All passes at once would hold up a root for
         longer than a part.
         """
-        self.relearning.train_pass(self._rng)
+        self.next_model.train_pass(self._rng)
         self.passes_left -= 1
         if not self.passes_left:
-            self.unit = self.relearning
-            self.relearning = None
-        return self.relearning is not None
+            self.model = self.next_model
+            self.next_model = None
+        return self.next_model is not None
 
 
 def _scale(value, low, high):
--- a/mothnotch/decisions/balancer/records.py
+++ b/mothnotch/decisions/balancer/records.py
@@ -15,7 +15,7 @@
         self.tenant = event.tenant
         self.objective_at_us = None  # an answer by then earns its full worth
         self.give_up_at_us = None  # no answer is wanted after that
-        self.verdicts = {}  # server -> whether it is predicted to be in a busy period
+        self.busy_predictions = {}  # server -> whether it is predicted to be in a busy period
         self.retries = 0  # attempts so far beyond the first of each part
         self.parts = []  # all of this step
         self.spare_parts = []  # those of them not needed yet
@@ -52,7 +52,7 @@
         self.servers_tried = []  # one for each attempt
         self.in_flight = {}  # attempts by number
         self.reconnect_to = None  # server whose idle connection broke under it
-        self.retry_is_paid = False  # its next attempt has been charged to the retry budget
+        self.retry_is_charged = False  # its next attempt has been charged to the retry budget
         self.is_held = False  # waits until it is known whether its query's key is quarantined
         self.may_have_run_us = []  # send times of the attempts that may have run
         self.is_answered = False
@@ -62,7 +62,7 @@
 class Attempt:
     """One send of a part, with what was known of the server then."""
 
-    def __init__(self, part: Part, server, now_us: int, admitted: bool):
+    def __init__(self, part: Part, server, now_us: int, to_home: bool):
         """Record the attempt as in flight with its part and its server.
 
         `admitted`: it goes to its home, as this was not taken for an outlier.
@@ -71,7 +71,7 @@
         self.server = server
         self.number = len(part.servers_tried)
         self.sent_us = now_us
-        self.admitted = admitted
+        self.to_home = to_home
         self.idle_us = server.idle_us
         self.cost_us = part.cost_us
         self.in_flight_before = len(server.in_flight)
@@ -79,7 +79,7 @@
         self.latency_us = None  # known once it has ended
         self.throughput = None
         self.timeout_us = 0  # how long it may be in flight before it is reviewed
-        self.has_stand_in = False  # a spare part was sent in its place
+        self.has_substitute = False  # a spare part was sent in its place
         part.servers_tried.append(server)
         part.may_have_run_us.append(now_us)
         part.in_flight[self.number] = self
--- a/mothnotch/decisions/balancer/relearning.py
+++ b/mothnotch/decisions/balancer/relearning.py
@@ -27,5 +27,5 @@
     def _run_pass(self):
         # After a stall the next check begins a relearning while a pass of the last is still due:
         # that pass may find nothing left to do.
-        if self._predictor.relearning and self._predictor.relearn_pass():
+        if self._predictor.next_model and self._predictor.relearn_pass():
             self._turn.call_later(self._tick_us, self._run_pass)
--- a/mothnotch/decisions/balancer/retries.py
+++ b/mothnotch/decisions/balancer/retries.py
@@ -39,19 +39,19 @@
         if query.spare_parts:
             # Taken first: the loss may end the query, which drops its spare parts.
             spare_part = query.spare_parts.pop(0)
-            self._answers.lose(part)
-            self._sender.place(spare_part)
+            self._answers.mark_lost(part)
+            self._sender.dispatch(spare_part)
         elif self._retry_limits.may_retry(part, now_us) and (
             is_free
-            or part.retry_is_paid
+            or part.retry_is_charged
             or self._retry_limits.remaining(now_us) >= 1 + query.retries
         ):
-            if self._placement.has_untried_holder(part):
-                self._sender.place(part)
+            if self._placement.has_untried_replica(part):
+                self._sender.dispatch(part)
             else:
-                self._sender.place_later(part)
+                self._sender.dispatch_later(part)
         else:
-            self._answers.lose(part)
+            self._answers.mark_lost(part)
 
     def release_held(self, query: Query) -> None:
         """Retry the held parts once the query's key is known to be harmless, or lose them.
@@ -66,6 +66,6 @@
         for part in [part for part in query.parts if part.is_held]:
             part.is_held = False
             if is_quarantined:
-                self._answers.lose(part)
+                self._answers.mark_lost(part)
             else:
                 self.retry(part)
--- a/mothnotch/decisions/balancer/retry_limits.py
+++ b/mothnotch/decisions/balancer/retry_limits.py
@@ -29,25 +29,25 @@
         self._limits = settings.limits
         self._tick_us = settings.tick_us
         window_us = self.rules.retry_budget_window_us or 0
-        self._taken = SlidingWindow(window_us)
+        self._admitted = SlidingWindow(window_us)
         # Guards against the edges of the budget's window: what was retried counts a little longer
         # than what was taken.
         self._retries = SlidingWindow(window_us + 2 * settings.tick_us)
-        self.burst = self.rules.retry_budget_minimum if self.is_stated else TOKENS_BURST
+        self.burst = self.rules.retry_budget_minimum if self.has_budget else TOKENS_BURST
         self.bucket = TokenBucket(self.burst)
 
     @property
-    def is_stated(self) -> bool:
+    def has_budget(self) -> bool:
         """Whether the rules state a retry budget."""
         return self.rules.retry_budget_ratio is not None
 
     def record_query(self, now_us: int) -> None:
         """Count a query taken."""
-        self._taken.add(now_us)
+        self._admitted.add(now_us)
 
     def record_part(self, now_us: int) -> None:
         """Count a part taken."""
-        self._taken.add(now_us)
+        self._admitted.add(now_us)
         self.bucket.add(TOKENS_PER_PART)
 
     def record_retry(self, now_us: int, tokens: float = 1) -> None:
@@ -57,9 +57,9 @@
 
     def remaining(self, now_us: int) -> float:
         """Return how many retries are left: of the stated budget, or else tokens."""
-        if not self.is_stated:
+        if not self.has_budget:
             return self.bucket.tokens
-        allowed = self.rules.retries_allowed(self._taken.total(now_us))
+        allowed = self.rules.retries_allowed(self._admitted.total(now_us))
         return allowed - self._retries.total(now_us)
 
     def may_move(self, now_us: int) -> bool:
@@ -76,4 +76,4 @@
         window_us = part.query.query_class.retry_window_us
         if now_us > first_run_us + window_us - self._tick_us:
             return False
-        return not self.is_stated or self.remaining(now_us) >= 1 + ROUNDING
+        return not self.has_budget or self.remaining(now_us) >= 1 + ROUNDING
--- a/mothnotch/decisions/balancer/sending.py
+++ b/mothnotch/decisions/balancer/sending.py
@@ -14,12 +14,12 @@
 # Wait of a part that no holder has capacity for, or that all holders have been tried with.
 NO_CAPACITY_WAIT_US = 40_000
 IDLE_US = 1_000_000  # a connection unused for so long may be lost unnoticed
-IDLE_LOSS_FADE_US = 10_000_000  # losses on idle connections are forgotten in that time
+IDLE_LOSS_DECAY_US = 10_000_000  # losses on idle connections are forgotten in that time
 
-TIMEOUT_USUAL_TIMES = 3.0  # an attempt in flight for so many usual times is reviewed
+TIMEOUT_MULTIPLE = 3.0  # an attempt in flight for so many usual times is reviewed
 # Heavy work is moved no sooner than after so many usual times where no retry budget bounds what
 # moves may cost: in a burst it would be moved to and fro, which only makes more of it.
-MOVE_USUAL_TIMES = 2.0
+MOVE_DELAY_MULTIPLE = 2.0
 
 
 class Sender:
@@ -46,53 +46,53 @@
         self._idle_losses = RunningShare()  # of the sends on idle connections
         self._hedge_wins = RunningShare()  # of the hedged parts: a later attempt came first
 
-    def place(self, part: Part) -> None:
+    def dispatch(self, part: Part) -> None:
         """Send the part's first attempt, or its next one; or lose the part if none may be sent."""
         if part.is_answered or part.is_lost or part.in_flight or not part.query.is_open:
             return
         now_us = self._turn.now_us
         query_class = part.query.query_class
-        ready = self._placement.ready_holders(part)
-        is_hopeless = not ready and not self._placement.holders(part)
+        ready = self._placement.ready_replicas(part)
+        has_no_replica = not ready and not self._placement.replicas(part)
         # The rules count what is sent: retries are asked for here.
-        if is_hopeless or part.servers_tried and not self._retry_limits.may_retry(part, now_us):
-            self._answers.lose(part)
+        if has_no_replica or part.servers_tried and not self._retry_limits.may_retry(part, now_us):
+            self._answers.mark_lost(part)
         elif not ready:
-            self.place_later(part)
+            self.dispatch_later(part)
         elif part.reconnect_to in ready:
-            self.send(part, part.reconnect_to, admitted=False)
+            self.send(part, part.reconnect_to, to_home=False)
         elif part.servers_tried:
             untried = [server for server in ready if server not in part.servers_tried]
-            best = self._placement.best(untried or ready, query_class)
-            self.send(part, best, admitted=False)
+            best = self._placement.best_server(untried or ready, query_class)
+            self.send(part, best, to_home=False)
         else:
-            server = self._placement.first_choice(part, ready)
-            self.send(part, server, admitted=server is ready[0])
+            server = self._placement.choose_first(part, ready)
+            self.send(part, server, to_home=server is ready[0])
 
-    def place_later(self, part: Part) -> None:
+    def dispatch_later(self, part: Part) -> None:
         """Place the part after a short wait, as no holder can take it now."""
-        self._turn.call_later(NO_CAPACITY_WAIT_US, self.place, part)
+        self._turn.call_later(NO_CAPACITY_WAIT_US, self.dispatch, part)
 
-    def send(self, part: Part, server: Server, admitted: bool) -> None:
+    def send(self, part: Part, server: Server, to_home: bool) -> None:
         """Send an attempt of the part to the server; `admitted`: it is its home, and no outlier."""
         now_us = self._turn.now_us
         if part.servers_tried:
-            self._retry_limits.record_retry(now_us, 1 - part.retry_is_paid)
+            self._retry_limits.record_retry(now_us, 1 - part.retry_is_charged)
             part.query.retries += 1
-            part.retry_is_paid = False
+            part.retry_is_charged = False
         server.record_send(now_us, part.cost_us + self._settings.call_overhead_us)
         self._close_idle_connections(server, part)
-        attempt = Attempt(part, server, now_us, admitted)
+        attempt = Attempt(part, server, now_us, to_home)
         self.attempts[part.id, attempt.number] = attempt
         review_after_us = self._set_timeout(attempt)
         # Where nothing can be cancelled, a time-out is the only way to leave a stuck attempt.
-        limit_us = part.query.give_up_at_us - now_us
+        send_timeout_us = part.query.give_up_at_us - now_us
         can_cancel = self._settings.limits.cancel
         if not can_cancel and self._retry_limits.may_retry(part, now_us):
-            limit_us = min(limit_us, attempt.timeout_us)
+            send_timeout_us = min(send_timeout_us, attempt.timeout_us)
         tick_us = self._settings.tick_us
         retry_window_us = part.query.query_class.retry_window_us - tick_us
-        self._turn.emit(Send(part.id, server.id, max(tick_us, limit_us), retry_window_us))
+        self._turn.emit(Send(part.id, server.id, max(tick_us, send_timeout_us), retry_window_us))
         self._turn.call_later(review_after_us, self.review, attempt)
 
     def take_attempt(self, part_id: str, number: int) -> Attempt | None:
@@ -113,7 +113,7 @@
         They are closed where much that was sent on such was lost, or if the part must not be lost.
         """
         age_us = self._turn.now_us - self._idle_losses.last_outcome_us
-        loss_rate = self._idle_losses.share * (1 - age_us / IDLE_LOSS_FADE_US)
+        loss_rate = self._idle_losses.share * (1 - age_us / IDLE_LOSS_DECAY_US)
         is_unsafe = part.query.query_class.idempotency is Idempotency.NOT_IDEMPOTENT
         if server.idle_us >= IDLE_US and (loss_rate > OUTLIER_FAILURE_RATE or is_unsafe):
             self._turn.emit(Disconnect(server.id))
@@ -122,11 +122,11 @@
     def _set_timeout(self, attempt):
         """Set the attempt's timeout; return the delay to its review, in microseconds."""
         objective_us = attempt.part.query.query_class.latency_objective_us
-        usual_us = self._fleet.usual_us(attempt.part.cost_us)
+        typical_us = self._fleet.typical_latency_us(attempt.part.cost_us)
         # Half the objective at most, less the more hedged requests win: what is moved later comes
         # too late elsewhere, too.
-        longest_us = objective_us / (2 + 2 * self._hedge_wins.share)
-        attempt.timeout_us = int(min(TIMEOUT_USUAL_TIMES * usual_us, longest_us))
-        if self._retry_limits.is_stated:
+        max_timeout_us = objective_us / (2 + 2 * self._hedge_wins.share)
+        attempt.timeout_us = int(min(TIMEOUT_MULTIPLE * typical_us, max_timeout_us))
+        if self._retry_limits.has_budget:
             return attempt.timeout_us
-        return max(attempt.timeout_us, min(MOVE_USUAL_TIMES * usual_us, objective_us))
+        return max(attempt.timeout_us, min(MOVE_DELAY_MULTIPLE * typical_us, objective_us))
--- a/mothnotch/decisions/balancer/server_health.py
+++ b/mothnotch/decisions/balancer/server_health.py
@@ -2,7 +2,7 @@
 
 from collections import deque
 
-from mothnotch.decisions.balancer.busy_periods import LabelledMeans
+from mothnotch.decisions.balancer.busy_periods import BusyPeriodLabeler
 from mothnotch.decisions.balancer.predictor import HISTORY_LENGTH
 from mothnotch.decisions.balancer.records import Attempt
 from mothnotch.decisions.balancer.slow_start import SlowStartCapacity
@@ -19,8 +19,8 @@
 
 # What was seen fades within this time, or within so many usual gaps between two outcomes if that
 # is longer: what was slow a minute ago says little, but one rarely asked must not fade at once.
-FADE_US = 2_000_000
-FADE_GAPS = 3
+STALE_AFTER_US = 2_000_000
+STALE_AFTER_GAPS = 3
 
 # Failures that befall the connection or the whole server count against all classes: one class
 # unanswered blames no other.
@@ -44,7 +44,7 @@
         """
         self.id = server_id
         self.cell = None
-        self.zone = None  # the failure rate of its zone
+        self.zone_failures = None  # the failure rate of its zone
         self.up = False
         self.weight = 1.0
         self.slow_start = slow_start
@@ -55,7 +55,7 @@
 
     def reset(self, now_us: int) -> None:
         """Forget what was seen: a new process has nothing of the old one."""
-        self.means = LabelledMeans()
+        self.means = BusyPeriodLabeler()
         self.failure_rates = {None: 0.0}  # share of attempts failed: of all, and of each class
         self.history = deque(maxlen=HISTORY_LENGTH)  # (latency, in flight before, throughput)
         self.last_heard_us = now_us  # the server itself said something
@@ -86,7 +86,7 @@
                 return attempt
         return None
 
-    def oldest_age_us(self, now_us: int) -> int:
+    def oldest_queued_age_us(self, now_us: int) -> int:
         """Return for how long the oldest queued attempt has been in flight; 0 if there is none."""
         attempt = self.oldest_queued()
         return now_us - attempt.sent_us if attempt else 0
@@ -121,12 +121,12 @@
         It is the running mean, scaled by the parts in flight now against those in flight then, or
         longer if one has been in flight for longer. Failures cost the time of another try.
         """
-        fresh = 1 - self._faded(now_us, self.last_outcome_us)
+        freshness = 1 - self._staleness(now_us, self.last_outcome_us)
         average_us = self._fleet.latency_us or 0
-        expected_us = average_us + fresh * ((self.means.latency_us or average_us) - average_us)
+        expected_us = average_us + freshness * ((self.means.latency_us or average_us) - average_us)
         usual_in_flight = self.means.in_flight if self.means.latency_us else self._fleet.in_flight
         expected_us *= (1 + len(self.in_flight)) / (1 + usual_in_flight)
-        return max(expected_us, self.oldest_age_us(now_us)) * (
+        return max(expected_us, self.oldest_queued_age_us(now_us)) * (
             1 + FAILURE_COST * self.failure_rate(now_us, query_class)
         )
 
@@ -135,9 +135,11 @@
 
         As far as what was seen here has faded, it is that of the zone.
         """
-        zone_rate = self.zone.share * (1 - self._faded(now_us, self.zone.last_outcome_us))
+        zone_rate = self.zone_failures.share * (
+            1 - self._staleness(now_us, self.zone_failures.last_outcome_us)
+        )
         rate = self.failure_rates.get(query_class, self.failure_rates[None])
-        return rate + self._faded(now_us, self.last_outcome_us) * (zone_rate - rate)
+        return rate + self._staleness(now_us, self.last_outcome_us) * (zone_rate - rate)
 
     def is_outlier(self, now_us: int, query_class: QueryClass) -> bool:
         """Return whether the server fails fast, rejects, hangs or has vanished.
@@ -162,14 +164,17 @@
             self._fleet.throughput or 0.0,
         )
         rows = [average] * (HISTORY_LENGTH - len(self.history)) + list(self.history)
-        age_us = self.oldest_age_us(now_us)
+        age_us = self.oldest_queued_age_us(now_us)
         if age_us > rows[-1][0]:
             rows = rows[1:] + [(age_us, len(self.in_flight), cost_us / age_us)]
         return [row[column] for column in range(3) for row in rows] + [cost_us]
 
-    def _faded(self, now_us, seen_us):
+    def _staleness(self, now_us, seen_us):
         """How much of what was seen then no longer counts, from 0 to 1."""
-        return min(1.0, (now_us - seen_us) / max(FADE_US, FADE_GAPS * self._fleet.gap_us))
+        return min(
+            1.0,
+            (now_us - seen_us) / max(STALE_AFTER_US, STALE_AFTER_GAPS * self._fleet.mean_gap_us),
+        )
 
     # ---- what has been seen ----
 
@@ -188,13 +193,13 @@
         attempt.latency_us = max(1, latency_us, least_us)
         attempt.throughput = attempt.cost_us / attempt.latency_us
         # After a long gap one answer says more.
-        weight = max(SERVER_WEIGHT, self._faded(now_us, self.last_outcome_us))
-        fleet_faded = self._faded_after_gap(now_us)
-        fleet_weight = min(SERVER_WEIGHT, max(FLEET_WEIGHT, fleet_faded))
+        weight = max(SERVER_WEIGHT, self._staleness(now_us, self.last_outcome_us))
+        fleet_staleness = self._fleet_staleness(now_us)
+        fleet_weight = min(SERVER_WEIGHT, max(FLEET_WEIGHT, fleet_staleness))
         self.failure_rates.setdefault(query_class, self.failure_rates[None])
         if has_failed or result is Result.OK:
             self._record_failure_rate(query_class, result, has_failed, weight)
-            self.zone.add(has_failed, ZONE_WEIGHT, now_us)
+            self.zone_failures.add(has_failed, ZONE_WEIGHT, now_us)
         self.last_outcome_us = now_us
         self._fleet.last_outcome_us = now_us
         self.history.append((attempt.latency_us, attempt.in_flight_before, attempt.throughput))
@@ -203,12 +208,12 @@
             self._fleet.add(attempt, fleet_weight)
         return self.means.label(attempt, self._fleet) if self._fleet.latency_us else []
 
-    def _faded_after_gap(self, now_us):
+    def _fleet_staleness(self, now_us):
         """How much of what was seen of the fleet has faded, with this gap taken into its mean."""
         if self.last_outcome_us:
             gap_us = now_us - self.last_outcome_us
-            self._fleet.gap_us += FLEET_WEIGHT * (gap_us - self._fleet.gap_us)
-        return self._faded(now_us, self._fleet.last_outcome_us)
+            self._fleet.mean_gap_us += FLEET_WEIGHT * (gap_us - self._fleet.mean_gap_us)
+        return self._staleness(now_us, self._fleet.last_outcome_us)
 
     def _record_failure_rate(self, query_class, result, has_failed, weight):
         is_whole_server = result in WHOLE_SERVER_FAILURES
--- a/mothnotch/decisions/balancer/slow_start.py
+++ b/mothnotch/decisions/balancer/slow_start.py
@@ -12,28 +12,28 @@
     It is itself the window of the work sent there: each remembered server keeps one object less.
     """
 
-    def __init__(self, rules: Rules, roots: int):
+    def __init__(self, rules: Rules, root_count: int):
         """Make it for a server that started long ago; `roots` share its capacity."""
         self.started_us = 0  # 0: long ago
         self._rules = rules
-        self._roots = roots
+        self._root_count = root_count
         self._sent_us = 0  # the last send since its start
-        self._part_to_save = 0.0  # share of a part's work to be saved up before it may be sent
+        self._required_credit = 0.0  # share of a part's work to be saved up before it may be sent
         super().__init__(rules.collapse_window_us)
 
-    def restart(self, started_us: int, drawn: float) -> None:
+    def restart(self, started_us: int, random_fraction: float) -> None:
         """Begin a slow start; `drawn` in [0, 1) says how much this root saves up for a first part.
 
         The roots draw, so that their sum holds where the share of each is under one part.
         """
         self.started_us = started_us
         self._sent_us = 0
-        self._part_to_save = drawn
+        self._required_credit = random_fraction
 
     def record_send(self, now_us: int, work_us: float) -> None:
         """Count what is sent to the server."""
         self._sent_us = now_us
-        self._part_to_save = 1.0
+        self._required_credit = 1.0
         self.add(now_us, work_us)
 
     def admits(self, now_us: int, work_us: float) -> bool:
@@ -45,13 +45,13 @@
         age_us = now_us - self.started_us
         if not self.started_us or age_us >= self._rules.slow_start_us:
             return True
-        pace = (
+        capacity_share = (
             min(WARMING_LOAD_MAX, self._rules.collapse_multiple)
             * self._rules.guaranteed_capacity(age_us)
-            / self._roots
+            / self._root_count
         )
-        saved_us = (now_us - max(self.started_us, self._sent_us)) * pace
+        credit_us = (now_us - max(self.started_us, self._sent_us)) * capacity_share
         return (
-            self.total(now_us) + work_us <= pace * self._rules.collapse_window_us
-            or saved_us >= self._part_to_save * work_us
+            self.total(now_us) + work_us <= capacity_share * self._rules.collapse_window_us
+            or credit_us >= self._required_credit * work_us
         )
--- a/mothnotch/decisions/balancer/statistics.py
+++ b/mothnotch/decisions/balancer/statistics.py
@@ -17,7 +17,7 @@
         self.median_throughput = None
         self.in_flight = 0.0
 
-    def usual_us(self, cost_us: float) -> float:
+    def typical_latency_us(self, cost_us: float) -> float:
         """Return the time that such work mostly takes, at least that of the typical answer."""
         if self.latency_us is None:
             return math.inf
@@ -43,21 +43,21 @@
     def __init__(self):
         """Make it with nothing seen."""
         super().__init__()
-        self.gap_us = 0.0  # mean time between two outcomes of one server
+        self.mean_gap_us = 0.0  # mean time between two outcomes of one server
         self.last_outcome_us = 0
 
 
 class RunningShare:
-    """The share of recent outcomes in which something happened."""
+    """The share of recent outcomes in which something occurred."""
 
     def __init__(self):
         """Make it with a share of 0."""
         self.share = 0.0
         self.last_outcome_us = 0
 
-    def add(self, happened: bool, weight: float, now_us: int) -> None:
+    def add(self, occurred: bool, weight: float, now_us: int) -> None:
         """Take in an outcome; `weight` is its weight in the share."""
-        self.share += weight * (happened - self.share)
+        self.share += weight * (occurred - self.share)
         self.last_outcome_us = now_us
 
 
--- a/mothnotch/decisions/balancer/stuck_attempts.py
+++ b/mothnotch/decisions/balancer/stuck_attempts.py
@@ -42,21 +42,21 @@
         if len(part.in_flight) > 1:
             return
         is_stuck = attempt.server.is_stuck(attempt, now_us)
-        if is_stuck and part.query.spare_parts and not attempt.has_stand_in:
-            attempt.has_stand_in = True
+        if is_stuck and part.query.spare_parts and not attempt.has_substitute:
+            attempt.has_substitute = True
             is_stuck = False
-            self._sender.place(part.query.spare_parts.pop(0))
+            self._sender.dispatch(part.query.spare_parts.pop(0))
         best = self._better_server(attempt) if is_stuck else None
         if best is None:
             tick_us = self._settings.tick_us
             wait_us = max(tick_us, self._fleet.median_latency_us or 0)
             self._turn.call_later(wait_us, self.review, attempt)
         elif self._settings.limits.hedging:
-            self._sender.send(part, best, admitted=False)
+            self._sender.send(part, best, to_home=False)
         elif self._settings.limits.cancel:
             self._turn.emit(Cancel(part.id, attempt.number))
             self._retry_limits.record_retry(now_us)  # counts before the next is reviewed, too
-            part.retry_is_paid = True
+            part.retry_is_charged = True
 
     def _better_server(self, attempt):
         """The server that the part should go to instead, if there is one and a retry is allowed."""
@@ -65,10 +65,10 @@
         now_us = self._turn.now_us
         untried = [
             server
-            for server in self._placement.ready_holders(part)
+            for server in self._placement.ready_replicas(part)
             if server not in part.servers_tried
         ]
-        best = self._placement.best(untried, query_class)
+        best = self._placement.best_server(untried, query_class)
         if best is None or best.is_outlier(now_us, query_class):
             return None
         if not self._retry_limits.may_retry(part, now_us):
--- a/tests/support/platform_rig.py
+++ b/tests/support/platform_rig.py
@@ -258,7 +258,7 @@
             "P", (), {"shard": shard, "cost_us": 1, "query": type("Q", (), {"key": "7f3a"})}
         )
         return next(
-            leaf for leaf in self.leaves if leaf.name == b.placement.ready_holders(part)[0].id
+            leaf for leaf in self.leaves if leaf.name == b.placement.ready_replicas(part)[0].id
         )
 
     async def empty(self):
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -265,11 +265,11 @@
     root.balancer.predictor.accuracy_counts["s1"] = 0, 10
     root.run(5 * S)
     assert (
-        root.balancer.predictor.unit is None
+        root.balancer.predictor.model is None
     )  # made over several turns: none holds up the root for long
     root.run(100 * MS)
-    unit = root.balancer.predictor.unit
-    assert all(w >= 0 for w in unit.weights[:6]) and all(w <= 0 for w in unit.weights[6:9])
+    model = root.balancer.predictor.model
+    assert all(w >= 0 for w in model.weights[:6]) and all(w <= 0 for w in model.weights[6:9])
 
 
 def test_parts_hopeless_in_time_are_not_asked_where_the_others_may_answer():
@@ -517,11 +517,11 @@
     root.balancer.predictor.samples.extend(samples)
     root.balancer.predictor.accuracy_counts["s1"] = 0, 10
     root.run(5 * S + 10 * MS)  # a pass or two are done
-    assert root.balancer.predictor.relearning
+    assert root.balancer.predictor.next_model
     root.balancer.predictor.accuracy_counts["s1"] = 0, 10
     root.run(6 * S, step=6 * S)  # a stall
     root.run(1 * S)
-    assert root.balancer.predictor.unit is not None and root.balancer.predictor.relearning is None
+    assert root.balancer.predictor.model is not None and root.balancer.predictor.next_model is None
 
 
 def learned(*classes, **changes):
