--- a/mothnotch/consul/api.py
+++ b/mothnotch/consul/api.py
@@ -198,14 +198,14 @@
     headers: dict[str, str],
     body: bytes,
     agent: int,
-    asked_us: int,
+    requested_us: int,
     mode: str = "default",
     read: Callable[[bytes], Instance] = health_instance,
 ) -> CatalogueAnswer:
     """Parse an agent's response about a service; raise BadAnswerError if it is invalid.
 
-    `read` parses one entry. An entry that cannot be parsed is reported in `unreadable` and does not
-    affect the others.
+    `read` parses one entry. An entry that cannot be parsed is reported in `parse_errors` and
+    does not affect the others.
     """
     require_ok(status, headers, body)
     if "x-consul-index" not in headers:
@@ -215,22 +215,22 @@
     except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
         raise BadAnswerError(f"body is not a JSON array: {error}") from None
     instances = []
-    unreadable = []
+    parse_errors = []
     for position, raw in enumerate(entries):
         try:
             instances.append(read(raw))
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
-            unreadable.append(f"entry {position}: {error}")
+            parse_errors.append(f"entry {position}: {error}")
     return CatalogueAnswer(
         agent,
-        asked_us,
+        requested_us,
         _number(headers, "x-consul-index"),
         tuple(instances),
         mode == "consistent",
         headers.get("x-consul-knownleader", "true") != "false",
         float(_number(headers, "x-consul-lastcontact")),
         headers.get("x-consul-results-filtered-by-acls") == "true",
-        tuple(unreadable[:MAX_UNREADABLE]),
+        tuple(parse_errors[:MAX_UNREADABLE]),
     )
 
 
--- a/mothnotch/consul/doubt_resolver.py
+++ b/mothnotch/consul/doubt_resolver.py
@@ -60,7 +60,7 @@
 
     async def _round(self, agents, log):
         """Send every agent a consistent query; return whether that resolved the doubt."""
-        asked_us = now_us()
+        requested_us = now_us()
         answers = []
         log(
             "an answer is in doubt; every agent is sent a consistent query",
@@ -76,17 +76,19 @@
                 log("consistent query failed", agent=agents[number].address, error=str(error))
                 return
             answers.append(answer)
-            if self._resolve(asked_us, [answer], complete=False):
+            if self._resolve(requested_us, [answer], complete=False):
                 scope.cancel()
 
         async with trio.open_nursery() as nursery:
             for number in range(len(agents)):
                 nursery.start_soon(ask_one, number, nursery.cancel_scope)
-        is_resolved = not self._membership.doubt or self._resolve(asked_us, answers, complete=True)
+        is_resolved = not self._membership.doubt or self._resolve(
+            requested_us, answers, complete=True
+        )
         self._on_round(is_resolved)
         return is_resolved
 
-    def _resolve(self, asked_us, answers, complete):
+    def _resolve(self, requested_us, answers, complete):
         return self._membership.resolve_doubt(
-            now_us(), self._network.wall(), asked_us, answers, complete
+            now_us(), self._network.wall(), requested_us, answers, complete
         )
--- a/mothnotch/consul/inspect_agents.py
+++ b/mothnotch/consul/inspect_agents.py
@@ -49,7 +49,7 @@
     if conf.service not in services:
         names = ", ".join(sorted(services)[:MAX_SHOWN_SERVICES]) or "none"
         lines.append(f"  no service {conf.service!r}; known services: {names}")
-    lines += [f"  unreadable: {error}" for error in healthy.unreadable]
+    lines += [f"  parse error: {error}" for error in healthy.parse_errors]
     return lines + _instance_lines(settings, network, healthy)
 
 
@@ -91,5 +91,5 @@
                 f"health {member.health}; effective state {states[instance.name]}"
             )
         lines.append(f"  {instance.name:24} {instance.address:22} {verdict}")
-    lines += [f"  {note.text}: {note.details}" for note in membership.notes]
+    lines += [f"  {event.text}: {event.details}" for event in membership.log_events]
     return lines
--- a/mothnotch/consul/list_cache.py
+++ b/mothnotch/consul/list_cache.py
@@ -34,7 +34,7 @@
             age_s=round(max(0.0, age_s)),
             leaves=len(leaves),
         )
-        membership.start_from_cache(leaves, index, now_us(), self._network.wall())
+        membership.restore(leaves, index, now_us(), self._network.wall())
         return True
 
     async def save(self, membership: LeafMembership) -> None:
@@ -42,7 +42,7 @@
         try:
             await self._network.work(
                 self._store.save,
-                membership.cached_list(now_us(), self._network.wall()),
+                membership.leaves_to_cache(now_us(), self._network.wall()),
                 membership.index,
                 self._network.wall(),
             )
--- a/mothnotch/consul/service_query.py
+++ b/mothnotch/consul/service_query.py
@@ -44,12 +44,12 @@
 
         Raise BadAnswerError if the answer is invalid, AgentError if none arrives within `limit_s`.
         """
-        asked_us = now_us()
+        requested_us = now_us()
         with trio.move_on_after(limit_s) as scope:
             status, headers, body = await agent.request("GET", self._target(index, wait_s, mode))
         if scope.cancelled_caught:
             raise AgentError(f"{agent.address}: no answer in {limit_s:.1f} s")
-        answer = api.read_answer(status, headers, body, agent_number, asked_us, mode)
+        answer = api.read_answer(status, headers, body, agent_number, requested_us, mode)
         digest = hashlib.blake2b(body, digest_size=DIGEST_BYTES).digest()
         return answer, (answer.index, digest)
 
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -108,9 +108,9 @@
     def publish(self) -> None:
         """Log the pending lines, and notify the pools and the module if the list has changed."""
         membership = self.membership
-        for note in membership.notes:
-            getattr(self.log, note.level)(note.text, **note.details)
-        membership.notes.clear()
+        for event in membership.log_events:
+            getattr(self.log, event.level)(event.text, **event.details)
+        membership.log_events.clear()
         entries = membership.entries()
         kind = membership.kind
         recovered = self._failure_notified and any(self._answering)
@@ -206,7 +206,7 @@
 
     def _on_answer(self, answer, digest):
         is_same = digest == self._digest
-        if is_same and not self._failure_notified and not self.membership.is_blind:
+        if is_same and not self._failure_notified and not self.membership.is_unsynced:
             # The blocking query timed out without a change.
             return
         if self.membership.on_answer(now_us(), self.network.wall(), answer):
--- a/mothnotch/decisions/leaf_membership/__init__.py
+++ b/mothnotch/decisions/leaf_membership/__init__.py
@@ -22,8 +22,7 @@
     stay while the root's own connections to them work, and are removed soon after these fail.
 5.  Failing health checks take a leaf out of service at once; it returns once its flap penalty has
     decayed (RFC 2439). Health never takes out more than a given share of the list, nor the last
-    leaf that holds a range: beyond that, the module judges leaves by the outcomes of its own
-    attempts.
+    replica of a range: beyond that, the module judges leaves by the outcomes of its own attempts.
 6.  A leaf counts as a new process, which is warming up, if its address, its stated start or, where
     it states none, its registration is new. Its start is never dated earlier than the root could
     have been notified of it, whatever the clock of the leaf's machine says.
--- a/mothnotch/decisions/leaf_membership/catalogue_answers.py
+++ b/mothnotch/decisions/leaf_membership/catalogue_answers.py
@@ -37,7 +37,7 @@
     """An agent's answer to one query for the instances of the service."""
 
     agent: int
-    asked_us: int
+    requested_us: int
     index: int
     instances: tuple[Instance, ...]
     # The answer was given in consistent mode: the leader confirmed that it is current.
@@ -47,7 +47,7 @@
     # ACLs removed entries from the answer.
     filtered: bool = False
     # Parse errors, one for each entry that could not be parsed.
-    unreadable: tuple[str, ...] = ()
+    parse_errors: tuple[str, ...] = ()
 
     @property
     def is_stale(self) -> bool:
@@ -79,20 +79,23 @@
 class LocalEvidence:
     """When a leaf last answered and last failed on the root's own connections (monotonic us)."""
 
-    answered_us: int | None = None
-    failed_us: int | None = None
+    last_answered_us: int | None = None
+    last_failed_us: int | None = None
 
-    def is_failing(self, now_us: int, span_us: int) -> bool:
-        """Return whether the leaf has given nothing but failures for `span_us`."""
-        if self.failed_us is None:
+    def is_failing(self, now_us: int, min_duration_us: int) -> bool:
+        """Return whether the leaf has given nothing but failures for `min_duration_us`."""
+        if self.last_failed_us is None:
             return False
-        if self.answered_us is None:
+        if self.last_answered_us is None:
             return True
-        return self.failed_us > self.answered_us and now_us - self.answered_us > span_us
+        return (
+            self.last_failed_us > self.last_answered_us
+            and now_us - self.last_answered_us > min_duration_us
+        )
 
 
 @dataclass(slots=True, frozen=True)
-class Note:
+class LogEvent:
     """A line to log; `level` is the name of the logger's method."""
 
     level: str
--- a/mothnotch/decisions/leaf_membership/departures.py
+++ b/mothnotch/decisions/leaf_membership/departures.py
@@ -10,7 +10,7 @@
 SHRINK_WINDOW_US = 10_000_000
 
 
-class Departures:
+class RecentDepartures:
     """The times of recent departures; bounded, as those outside the window are dropped."""
 
     def __init__(self, max_shrink_ratio: float):
@@ -18,7 +18,7 @@
         self._max_shrink_ratio = max_shrink_ratio
         self._departed_us = deque()
 
-    def is_sharp(self, missing_count: int, listed_count: int, now_us: int) -> bool:
+    def exceeds_limit(self, missing_count: int, listed_count: int, now_us: int) -> bool:
         """Return whether the departure of `missing_count` leaves exceeds the limit.
 
         Both counts are of leaves that are up. A single departure never exceeds the limit.
@@ -37,29 +37,29 @@
         self._departed_us.extend([now_us] * count)
 
 
-def why_incomplete(
+def reason_to_keep(
     answer: CatalogueAnswer, any_up_missing: bool, in_new_incarnation: bool
 ) -> str | None:
-    """Return why an answer is no evidence that missing leaves are gone, or None if it is."""
+    """Return why leaves missing from an answer are kept, or None if they may be removed."""
     if in_new_incarnation:
         return "a new incarnation of the catalogue does not list all leaves"
     if answer.filtered:
         return "entries were filtered by ACLs"
-    if answer.unreadable:
+    if answer.parse_errors:
         return "entries could not be parsed"
     if not answer.instances and any_up_missing:
         return "the answer lists no instances"
     return None
 
 
-def why_hold_no_longer(
+def reason_to_remove(
     missing_since_us: int, evidence: LocalEvidence, settings: MembershipSettings, now_us: int
 ) -> str | None:
-    """Return why a missing leaf that was kept is to be removed, or None if it is still kept."""
+    """Return why a missing leaf that was kept is now removed, or None if it is still kept."""
     is_failing = evidence.is_failing(now_us, settings.local_failure_us)
     if is_failing and now_us - missing_since_us > settings.local_failure_us:
         return "a leaf missing from the catalogue fails on the root's connections; it is removed"
-    last_heard_us = max(missing_since_us, evidence.answered_us or 0)
+    last_heard_us = max(missing_since_us, evidence.last_answered_us or 0)
     if now_us - last_heard_us > settings.hold_missing_us:
         return "a leaf missing from the catalogue was not heard from in time; it is removed"
     return None
--- a/mothnotch/decisions/leaf_membership/eligibility.py
+++ b/mothnotch/decisions/leaf_membership/eligibility.py
@@ -1,8 +1,8 @@
 """Select the leaves that take new work, from their state in the catalogue and their health.
 
 Health never takes out more than a share of the list: when so many checks fail at once, the checks
-themselves are the likelier fault. Nor does it take out the last leaf that holds a range: a range
-without any leaf is worse than one with an unhealthy leaf.
+themselves are the likelier fault. Nor does it take out the last replica of a range: a range
+without any replica is worse than one with an unhealthy replica.
 """
 
 from collections.abc import Mapping
@@ -19,14 +19,14 @@
         for member in members.values()
         if member.admin_state == UP and not member.provisional_drain_index
     ]
-    unhealthy = _unhealthy(admitted, settings)
+    unhealthy = _unhealthy_names(admitted, settings)
     if unhealthy:
-        unhealthy = _without_last_holders(unhealthy, admitted, settings)
+        unhealthy = _without_last_replicas(unhealthy, admitted, settings)
     eligible = {member.name for member in admitted} - unhealthy
     return {name: UP if name in eligible else DRAINING for name in members}
 
 
-def _unhealthy(admitted, settings):
+def _unhealthy_names(admitted, settings):
     """Return the names of unhealthy leaves, or none if they exceed the settings' share."""
     if not settings.health:
         return set()
@@ -38,14 +38,16 @@
     return names
 
 
-def _without_last_holders(unhealthy, admitted, settings):
-    """Return `unhealthy` without the last holders of any range.
+def _without_last_replicas(unhealthy, admitted, settings):
+    """Return `unhealthy` without the last replicas of any range.
 
-    A range is held by `reach` adjacent cells.
+    The replicas of a range are the leaves of `reach` adjacent cells.
     """
-    held_cells = {member.cell for member in admitted if member.name not in unhealthy}
+    served_cells = {member.cell for member in admitted if member.name not in unhealthy}
     for first_cell in range(settings.cells):
-        holding = {(first_cell + offset) % settings.cells for offset in range(settings.reach)}
-        if not holding & held_cells:
-            unhealthy = unhealthy - {member.name for member in admitted if member.cell in holding}
+        replica_cells = {(first_cell + offset) % settings.cells for offset in range(settings.reach)}
+        if not replica_cells & served_cells:
+            unhealthy = unhealthy - {
+                member.name for member in admitted if member.cell in replica_cells
+            }
     return unhealthy
--- a/mothnotch/decisions/leaf_membership/flap_damping.py
+++ b/mothnotch/decisions/leaf_membership/flap_damping.py
@@ -34,12 +34,12 @@
         self._updated_us = now_us
         self.suppressed = self.suppressed or self._penalty >= SUPPRESS_PENALTY
 
-    def release_if_calm(self, now_us: int) -> None:
+    def release_if_decayed(self, now_us: int) -> None:
         """End the suppression if the penalty has decayed far enough."""
         if self.suppressed and self._penalty_at(now_us) <= REUSE_PENALTY:
             self.suppressed = False
 
-    def calm_us(self) -> int:
+    def release_time_us(self) -> int:
         """Return when the penalty decays to `REUSE_PENALTY`, in us on the monotonic clock."""
         half_lives = math.log2(max(1.0, self._penalty / REUSE_PENALTY))
         return self._updated_us + math.ceil(PENALTY_HALF_LIFE_US * half_lives)
--- a/mothnotch/decisions/leaf_membership/incarnation_candidate.py
+++ b/mothnotch/decisions/leaf_membership/incarnation_candidate.py
@@ -17,16 +17,16 @@
     def __init__(self):
         """Start without a candidate."""
         self._index = 0
-        self._names: set[str] = set()
+        self._listed_names: set[str] = set()
 
     def clear(self) -> None:
         """Discard the candidate, as the doubt is resolved."""
         self._index = 0
-        self._names = set()
+        self._listed_names = set()
 
-    def named(self, members: Mapping[str, Member]) -> Iterable[Member]:
+    def listed_members(self, members: Mapping[str, Member]) -> Iterable[Member]:
         """Return the members that the candidate has listed."""
-        return [members[name] for name in self._names & members.keys()]
+        return [members[name] for name in self._listed_names & members.keys()]
 
     def on_answer(
         self,
@@ -38,14 +38,14 @@
         if answer.index < self._index:
             return
         names = {instance.name for instance in answer.instances}
-        departed = self._names - names
+        departed = self._listed_names - names
         self._index = answer.index
         for instance in answer.instances:
             if instance.name in members and is_draining(instance, settings):
                 members[instance.name].provisional_drain_index = answer.index
-        max_departed = max(1, settings.max_shrink_ratio * len(self._names))
-        is_whole = names and not answer.filtered and not answer.unreadable
-        if is_whole and len(departed) <= max_departed:
+        max_departed = max(1, settings.max_shrink_ratio * len(self._listed_names))
+        is_complete = names and not answer.filtered and not answer.parse_errors
+        if is_complete and len(departed) <= max_departed:
             for name in departed & members.keys():
                 members[name].provisional_drain_index = answer.index
-        self._names |= names
+        self._listed_names |= names
--- a/mothnotch/decisions/leaf_membership/instance_reading.py
+++ b/mothnotch/decisions/leaf_membership/instance_reading.py
@@ -22,7 +22,7 @@
         return True
     if any(instance.meta.get(key) == value for key, value in settings.drain_meta):
         return True
-    return settings.drain_weight and weight_in_force(instance, worst_health(instance)) <= 0
+    return settings.drain_weight and effective_weight(instance, worst_health(instance)) <= 0
 
 
 def worst_health(instance: Instance) -> str:
@@ -41,12 +41,14 @@
     return worst
 
 
-def weight_in_force(instance: Instance, health: str) -> int:
+def effective_weight(instance: Instance, health: str) -> int:
     """Return the weight of an instance at the given health."""
     return instance.weights[health == WARNING]
 
 
-def placement(instance: Instance, settings: MembershipSettings) -> tuple[int, float | None]:
+def parse_cell_and_start(
+    instance: Instance, settings: MembershipSettings
+) -> tuple[int, float | None]:
     """Return the cell and the stated start (seconds of the wall clock, or None) of an instance.
 
     Raise ValueError if the metadata of either is missing or invalid.
--- a/mothnotch/decisions/leaf_membership/membership.py
+++ b/mothnotch/decisions/leaf_membership/membership.py
@@ -13,31 +13,31 @@
     CachedLeaf,
     CatalogueAnswer,
     LocalEvidence,
-    Note,
+    LogEvent,
 )
 from mothnotch.decisions.leaf_membership.departures import (
-    Departures,
-    why_hold_no_longer,
-    why_incomplete,
+    RecentDepartures,
+    reason_to_keep,
+    reason_to_remove,
 )
 from mothnotch.decisions.leaf_membership.incarnation_candidate import IncarnationCandidate
 from mothnotch.decisions.leaf_membership.instance_reading import (
+    effective_weight,
     is_draining,
-    placement,
-    weight_in_force,
+    parse_cell_and_start,
     worst_health,
 )
 from mothnotch.decisions.leaf_membership.member import Member
 from mothnotch.decisions.leaf_membership.settings import MembershipSettings
-from mothnotch.decisions.leaf_membership.start_estimate import StartEstimate
+from mothnotch.decisions.leaf_membership.start_estimate import StartEstimator
 
 # The weight used for a leaf of weight 0 where that does not mean draining: weights must be above 0.
-LEAST_WEIGHT = 0.01
+MIN_WEIGHT = 0.01
 # The most lines that wait to be logged. Further ones are dropped, so that a flood of invalid
 # entries does not fill the memory.
-MAX_NOTES = 100
+MAX_LOG_EVENTS = 100
 # The most names in one log line.
-MAX_NOTED_LEAVES = 20
+MAX_LOGGED_NAMES = 20
 
 
 class LeafMembership:
@@ -58,28 +58,26 @@
         self.incarnation = 0
         self._lost_index = 0
         self._candidate = IncarnationCandidate()
-        self._starts = StartEstimate(settings.clock_skew_s)
-        self._departures = Departures(settings.max_shrink_ratio)
+        self._start_estimator = StartEstimator(settings.clock_skew_s)
+        self._departures = RecentDepartures(settings.max_shrink_ratio)
         # Lines to log; the caller logs and clears them.
-        self.notes: list[Note] = []
+        self.log_events: list[LogEvent] = []
 
     # ---- inputs ----
 
-    def start_from_cache(
-        self, cached: list[CachedLeaf], index: int, now_us: int, wall_s: float
-    ) -> None:
+    def restore(self, cached: list[CachedLeaf], index: int, now_us: int, wall_s: float) -> None:
         """Start from the list cached on disk."""
         self.index = index
         self._index_seen_us = now_us
-        self._starts.blind_since_us = now_us
-        self._starts.restored = True
+        self._start_estimator.unsynced_since_us = now_us
+        self._start_estimator.is_restored = True
         for leaf in cached[: self.settings.max_instances]:
-            started_us = self._starts.on_own_clock(leaf.observed_start_s, now_us, wall_s)
+            started_us = self._start_estimator.to_root_clock(leaf.observed_start_s, now_us, wall_s)
             self.members[leaf.name] = Member.from_cache(leaf, started_us)
 
     def on_agent_failure(self, now_us: int) -> None:
         """Record that an agent gave no usable answer."""
-        self._starts.on_agent_failure(now_us)
+        self._start_estimator.on_agent_failure(now_us)
 
     def on_answer(self, now_us: int, wall_s: float, answer: CatalogueAnswer) -> bool:
         """Merge an answer to a query of the watch; return False if it is out of order."""
@@ -96,26 +94,26 @@
         self,
         now_us: int,
         wall_s: float,
-        asked_us: int,
+        requested_us: int,
         answers: Iterable[CatalogueAnswer],
         complete: bool = True,
     ) -> bool:
         """Merge the newest of the consistent answers, if it proves the state of the catalogue.
 
-        All answers were requested at `asked_us`; `complete` says that no further one will arrive.
-        Return whether the doubt is resolved.
+        All answers were requested at `requested_us`; `complete` says that no further one will
+        arrive. Return whether the doubt is resolved.
         """
         answers = [answer for answer in answers if answer.consistent]
         if not answers:
             return False
-        best = max(answers, key=lambda answer: answer.index)
-        if best.index >= self.index:
+        newest = max(answers, key=lambda answer: answer.index)
+        if newest.index >= self.index:
             self.doubt = None
-            self._merge(now_us, wall_s, best, confirmed=True)
-        elif complete and asked_us > self._index_seen_us:
+            self._merge(now_us, wall_s, newest, confirmed=True)
+        elif complete and requested_us > self._index_seen_us:
             # A consistent answer cannot be older than an index seen before its query was sent, so
             # this one comes from a new incarnation.
-            self._begin_incarnation(now_us, wall_s, best)
+            self._begin_incarnation(now_us, wall_s, newest)
         else:
             return False
         self._candidate.clear()
@@ -128,13 +126,13 @@
         """
         for member in list(self.members.values()):
             if member.awaits_release:
-                member.damping.release_if_calm(now_us)
+                member.damping.release_if_decayed(now_us)
             if member.missing_since_us is None:
                 continue
-            met = evidence.get(member.name) or LocalEvidence()
-            why = why_hold_no_longer(member.missing_since_us, met, self.settings, now_us)
-            if why is not None:
-                self._note("warning", why, leaf=member.name)
+            leaf_evidence = evidence.get(member.name) or LocalEvidence()
+            reason = reason_to_remove(member.missing_since_us, leaf_evidence, self.settings, now_us)
+            if reason is not None:
+                self._log("warning", reason, leaf=member.name)
                 del self.members[member.name]
 
     # ---- outputs ----
@@ -145,7 +143,7 @@
         Missing leaves have no time of their own: every `on_tick` checks them.
         """
         waiting = [member for member in self.members.values() if member.awaits_release]
-        return min((member.damping.calm_us() + 1 for member in waiting), default=None)
+        return min((member.damping.release_time_us() + 1 for member in waiting), default=None)
 
     def effective_states(self) -> dict[str, str]:
         """Return the state of each leaf that the module is given, by name."""
@@ -169,12 +167,12 @@
     @property
     def is_live(self) -> bool:
         """Whether an agent's answer has been merged since the start."""
-        return self._starts.live
+        return self._start_estimator.has_live_answer
 
     @property
-    def is_blind(self) -> bool:
+    def is_unsynced(self) -> bool:
         """Whether no answer was merged since an agent failed or the list came from the cache."""
-        return self._starts.blind_since_us is not None
+        return self._start_estimator.unsynced_since_us is not None
 
     @property
     def kind(self) -> WatchEventKind:
@@ -185,7 +183,7 @@
         """Return the address of each leaf, by name."""
         return {name: member.address for name, member in self.members.items()}
 
-    def cached_list(self, now_us: int, wall_s: float) -> list[CachedLeaf]:
+    def leaves_to_cache(self, now_us: int, wall_s: float) -> list[CachedLeaf]:
         """Return the list to cache on disk, with the catalogue's states and not the damped ones."""
         return [member.to_cache(now_us, wall_s) for _, member in sorted(self.members.items())]
 
@@ -203,14 +201,14 @@
         self.incarnation += 1
         self._lost_index = self.index
         self.doubt = None
-        self._note(
+        self._log(
             "error",
             "the catalogue lost its state or was restored; leaves missing from it are kept",
             index=answer.index,
             before=self.index,
         )
         self._merge(now_us, wall_s, answer, in_new_incarnation=True)
-        for member in self._candidate.named(self.members):
+        for member in self._candidate.listed_members(self.members):
             # The new incarnation has listed it, though perhaps not in this answer.
             member.in_lost_incarnation = False
 
@@ -218,8 +216,8 @@
         if answer.index > self.index or in_new_incarnation:
             self.index = answer.index
             self._index_seen_us = now_us
-        for error in answer.unreadable:
-            self._note(
+        for error in answer.parse_errors:
+            self._log(
                 "error",
                 "a catalogue entry cannot be parsed; its leaf is kept as it was",
                 error=error,
@@ -240,28 +238,28 @@
                 # An answer does not revoke a drain from a later index than its own.
                 if member.provisional_drain_index <= answer.index:
                     member.provisional_drain_index = 0
-        self._starts.on_live()
+        self._start_estimator.on_answer_merged()
 
     def _on_missing(self, now_us, answer, missing, confirmed, in_new_incarnation):
         """Remove or keep the members that an answer no longer lists."""
-        missing_up = sum(member.admin_state == UP for member in missing)
-        listed_up = sum(member.admin_state == UP for member in self.members.values())
-        is_sharp = self._departures.is_sharp(missing_up, listed_up, now_us)
-        reason = why_incomplete(answer, missing_up > 0, in_new_incarnation)
-        if reason is None and (confirmed or not is_sharp):
+        missing_up_count = sum(member.admin_state == UP for member in missing)
+        listed_up_count = sum(member.admin_state == UP for member in self.members.values())
+        exceeds_limit = self._departures.exceeds_limit(missing_up_count, listed_up_count, now_us)
+        reason = reason_to_keep(answer, missing_up_count > 0, in_new_incarnation)
+        if reason is None and (confirmed or not exceeds_limit):
             for member in missing:
                 del self.members[member.name]
-            self._departures.on_removed(missing_up, now_us)
+            self._departures.on_removed(missing_up_count, now_us)
             return
         if reason is None:
             reason = self.doubt = "too many leaves are missing at once"
         newly_missing = [member for member in missing if member.missing_since_us is None]
         if newly_missing:
-            self._note(
+            self._log(
                 "error",
                 "leaves missing from the answer are kept",
                 why=reason,
-                leaves=sorted(member.name for member in newly_missing)[:MAX_NOTED_LEAVES],
+                leaves=sorted(member.name for member in newly_missing)[:MAX_LOGGED_NAMES],
                 count=len(newly_missing),
             )
         for member in newly_missing:
@@ -273,59 +271,63 @@
         """Merge one instance of an answer."""
         member = self.members.get(instance.name)
         try:
-            cell, stated_start_s = placement(instance, self.settings)
+            cell, stated_start_s = parse_cell_and_start(instance, self.settings)
         except ValueError as error:
-            self._note(
+            self._log(
                 "error",
                 "instance metadata is invalid; the instance is not used",
                 leaf=instance.name,
                 error=str(error),
             )
-            self._drain_unplaced(now_us, member, instance)
+            self._drain_invalid(now_us, member, instance)
             return
         if member is None:
             if len(self.members) >= self.settings.max_instances:
-                self._note(
+                self._log(
                     "error",
                     "the maximum number of instances is reached; this one is ignored",
                     leaf=instance.name,
                 )
                 return
             member = self.members[instance.name] = Member(instance.name)
-            member.started_us = self._starts.of_new_process(stated_start_s, now_us, wall_s)
+            member.started_us = self._start_estimator.start_of_new_process(
+                stated_start_s, now_us, wall_s
+            )
         elif member.is_another_process(instance, stated_start_s):
-            member.started_us = self._starts.of_new_process(stated_start_s, now_us, wall_s)
+            member.started_us = self._start_estimator.start_of_new_process(
+                stated_start_s, now_us, wall_s
+            )
         member.cell = cell
         member.stated_start_s = stated_start_s
-        self._update(now_us, member, instance)
+        self._update_member(now_us, member, instance)
 
-    def _drain_unplaced(self, now_us, member, instance):
+    def _drain_invalid(self, now_us, member, instance):
         """Drain a known member whose entry is invalid but still marks it as draining."""
         if member is None or member.admin_state != UP or not is_draining(instance, self.settings):
             return
         member.admin_state = DRAINING
         member.damping.on_down(now_us)
 
-    def _update(self, now_us, member, instance):
+    def _update_member(self, now_us, member, instance):
         """Copy an instance's address, states and weight to its member."""
         was_serving = member.is_serving
-        drains = is_draining(instance, self.settings)
+        is_marked_draining = is_draining(instance, self.settings)
         health = worst_health(instance)
         member.address = instance.address
         member.zone = str(instance.meta.get(self.settings.zone_key, ""))
         member.create_index = instance.create_index
-        member.admin_state = DRAINING if drains else UP
+        member.admin_state = DRAINING if is_marked_draining else UP
         member.health = health
-        weight = weight_in_force(instance, health)
+        weight = effective_weight(instance, health)
         if weight > 0:
             member.weight = float(weight)
-        elif not drains:
-            member.weight = LEAST_WEIGHT
+        elif not is_marked_draining:
+            member.weight = MIN_WEIGHT
         member.missing_since_us = None
         member.in_lost_incarnation = False
         if was_serving and not member.is_serving:
             member.damping.on_down(now_us)
 
-    def _note(self, level, text, **details):
-        if len(self.notes) < MAX_NOTES:
-            self.notes.append(Note(level, text, details))
+    def _log(self, level, text, **details):
+        if len(self.log_events) < MAX_LOG_EVENTS:
+            self.log_events.append(LogEvent(level, text, details))
--- a/mothnotch/decisions/leaf_membership/settings.py
+++ b/mothnotch/decisions/leaf_membership/settings.py
@@ -8,7 +8,7 @@
     """How to interpret instances and when to trust answers; ratios are shares of the list."""
 
     cells: int
-    # The number of adjacent cells that hold one range.
+    # The number of adjacent cells whose leaves are the replicas of one range.
     reach: int
     drain_tags: frozenset[str] = frozenset(("draining",))
     # (key, value) pairs of the service's metadata that mark a drain.
--- a/mothnotch/leaves/connection.py
+++ b/mothnotch/leaves/connection.py
@@ -146,7 +146,7 @@
                     return
                 if not data:
                     break
-                self.leaf.own.answered_us = int(trio.current_time() * 1e6)
+                self.leaf.own.last_answered_us = int(trio.current_time() * 1e6)
                 self._wire.receive(data)
                 self._process_events()
                 if self.dead:
--- a/mothnotch/leaves/pool.py
+++ b/mothnotch/leaves/pool.py
@@ -243,7 +243,7 @@
     def _time_out(self, attempt, now_s):
         """End an attempt that is still in flight at its deadline."""
         call = attempt.call
-        call.leaf.own.failed_us = int(now_s * 1e6)
+        call.leaf.own.last_failed_us = int(now_s * 1e6)
         if call.connection is None:
             attempt.complete(interface.Result.UNREACHABLE)  # nothing was sent
         elif call.exchange.waits_only_for(attempt):
@@ -298,7 +298,7 @@
         """Count a connection that was not made, also if it was cancelled; close what there is."""
         leaf.open -= 1
         self.counts["connects_failed"] += 1
-        leaf.own.failed_us = int(trio.current_time() * 1e6)
+        leaf.own.last_failed_us = int(trio.current_time() * 1e6)
         if connection is not None:
             shut(connection.stream)
 
--- a/tests/test_catalogue_parts.py
+++ b/tests/test_catalogue_parts.py
@@ -89,8 +89,8 @@
 
 def test_entry_that_cannot_be_read_costs_itself_alone_and_is_named():
     found = read([entry(), {"Node": 1}, entry(ID="b", Meta={"k": 5}), None])
-    assert [x.name for x in found.instances] == ["n1/a"] and len(found.unreadable) == 3
-    assert found.unreadable[0].startswith("entry 1:")
+    assert [x.name for x in found.instances] == ["n1/a"] and len(found.parse_errors) == 3
+    assert found.parse_errors[0].startswith("entry 1:")
 
 
 @pytest.mark.parametrize(
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -109,7 +109,7 @@
     async def test(world):
         assert world.up() == ALL and await world.ask(5) == 5
         assert world.root.watch.kind is i.WatchEventKind.SNAPSHOT
-        assert any(own.answered_us for own in world.root.leaves.own().values())
+        assert any(own.last_answered_us for own in world.root.leaves.own().values())
 
     play(test)
 
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -41,7 +41,7 @@
 
 
 def answer(index, instances, **options):
-    return CatalogueAnswer(0, options.pop("asked_us", 0), index, tuple(instances), **options)
+    return CatalogueAnswer(0, options.pop("requested_us", 0), index, tuple(instances), **options)
 
 
 def member(**options):
@@ -115,7 +115,11 @@
 
 @pytest.mark.parametrize(
     "poor",
-    [answer(11, ()), answer(11, fleet(0), filtered=True), answer(11, fleet(0), unreadable=("x",))],
+    [
+        answer(11, ()),
+        answer(11, fleet(0), filtered=True),
+        answer(11, fleet(0), parse_errors=("x",)),
+    ],
 )
 def test_answers_that_say_nothing_of_what_they_lack_take_nobody_away_even_when_confirmed(poor):
     m = member()
@@ -128,7 +132,13 @@
         3,
         [
             CatalogueAnswer(
-                0, 3, 11, poor.instances, True, filtered=poor.filtered, unreadable=poor.unreadable
+                0,
+                3,
+                11,
+                poor.instances,
+                True,
+                filtered=poor.filtered,
+                parse_errors=poor.parse_errors,
             )
         ],
     )
@@ -335,7 +345,7 @@
 def test_instance_that_cannot_be_placed_is_left_out_and_still_drains():
     m = member()
     m.on_answer(0, WALL, answer(1, [*fleet(0, 1), leaf(2, cell=99), leaf(3, started="noon")]))
-    assert up(m) == [0, 1] and len(m.notes) == 2
+    assert up(m) == [0, 1] and len(m.log_events) == 2
     m.on_answer(1, WALL, answer(2, [leaf(0), leaf(1, cell="x", state="draining")]))
     assert up(m) == [0]
 
@@ -346,7 +356,7 @@
         CachedLeaf("node-1/leaf", "10.0.0.1:5432", "z", 1, "up", 1.0, None),
         CachedLeaf("node-2/leaf", "x:1", "z", 2, "draining", 1.0, None),
     ]
-    m.start_from_cache(held, 40, 0, WALL)
+    m.restore(held, 40, 0, WALL)
     assert m.kind is i.WatchEventKind.CACHED and up(m) == [1]
     m.on_answer(1, WALL, answer(30, ALL, known_leader=False))  # an agent behind the list held
     assert m.kind is i.WatchEventKind.CACHED and up(m) == [1]
@@ -360,9 +370,9 @@
     m.on_answer(
         110 * S, WALL + 10, answer(2, [*ALL[1:], leaf(0, create=2)])
     )  # registered anew, states no start
-    held = m.cached_list(115 * S, WALL + 15)
+    held = m.leaves_to_cache(115 * S, WALL + 15)
     again = member()
-    again.start_from_cache(held, 2, 50 * S, WALL + 17)
+    again.restore(held, 2, 50 * S, WALL + 17)
     start = {e.server: e.started_us for e in again.entries()}
     assert (
         start["node-0/leaf"] == 45 * S and start["node-1/leaf"] == 0
