--- a/mothnotch/simulator_adapter.py
+++ b/mothnotch/simulator_adapter.py
@@ -47,7 +47,7 @@
     def __init__(self):
         """Start without instances."""
         self.instances: dict[int, Balancer] = {}
-        self._tables: dict[int, tuple[Endpoint, ...]] = {}
+        self._endpoint_tables: dict[int, tuple[Endpoint, ...]] = {}
 
     def read(self, lines: list[str]) -> Batch:
         """Parse the lines of a batch, except its end line; start and stop instances as it says.
@@ -58,21 +58,21 @@
         if name != "MARK":
             raise WireError(f"expected MARK, got {name[:40]!r}")
         batch = Batch(int(fields["nowUs"]), {})
-        rest = iter(lines[1:])
-        remaining = len(lines) - 1
-        for line in rest:
-            remaining -= 1
+        remaining_lines = iter(lines[1:])
+        remaining_count = len(lines) - 1
+        for line in remaining_lines:
+            remaining_count -= 1
             name, fields = read_line(line)
             if name == "DIRECTORY":
                 count = int(fields["membersList"])
-                if count > remaining:
+                if count > remaining_count:
                     raise WireError(f"list of {count} entries is incomplete")
-                self._tables[int(fields["table"])] = tuple(
-                    read_endpoint(entry) for entry in islice(rest, count)
+                self._endpoint_tables[int(fields["table"])] = tuple(
+                    read_endpoint(entry) for entry in islice(remaining_lines, count)
                 )
-                remaining -= count
+                remaining_count -= count
             elif name not in SKIPPED_MESSAGES:
-                self._take(name, fields, batch.events)
+                self._process_message(name, fields, batch.events)
         return batch
 
     def reply(self, batch: Batch) -> list[str]:
@@ -83,7 +83,7 @@
             for action in self.instances[root].handle(batch.now_us, events)
         ]
 
-    def _take(self, name: str, fields: Fields, events: dict[int, list[Event]]) -> None:
+    def _process_message(self, name: str, fields: Fields, events: dict[int, list[Event]]) -> None:
         """Start or stop an instance, or add an instance's event."""
         if name == "OPEN_INSTANCE":
             root = int(fields["root"])
@@ -106,17 +106,17 @@
         kind = WATCH_EVENT_KINDS[fields["how"]]
         entries = ()
         if kind is not WatchEventKind.FAILED:
-            entries = self._tables[int(fields["table"])]
+            entries = self._endpoint_tables[int(fields["table"])]
         return WatchEvent(kind, int(fields.get("gen", 0)), entries)
 
 
-def main(source: TextIO | None = None, sink: TextIO | None = None) -> int:
+def main(input_stream: TextIO | None = None, output_stream: TextIO | None = None) -> int:
     """Process batches until the input ends; return the exit code."""
-    source = source or sys.stdin
-    sink = sink or sys.stdout
+    input_stream = input_stream or sys.stdin
+    output_stream = output_stream or sys.stdout
     adapter = Adapter()
     lines = []
-    for line in source:
+    for line in input_stream:
         line = line.rstrip("\n")
         if line != END_OF_BATCH:
             if line:
@@ -130,8 +130,8 @@
                 file=sys.stderr,
             )
             return 2
-        sink.write("\n".join([*adapter.reply(batch), END_OF_REPLY, ""]))
-        sink.flush()
+        output_stream.write("\n".join([*adapter.reply(batch), END_OF_REPLY, ""]))
+        output_stream.flush()
         lines = []
     if lines:
         print("mothnotch: input ended in the middle of a batch", file=sys.stderr)
--- a/mothnotch/simulator_wire.py
+++ b/mothnotch/simulator_wire.py
@@ -61,9 +61,9 @@
     "delta": WatchEventKind.DELTA,
     "failed": WatchEventKind.FAILED,
 }
-# Bits of `attrs`: sizeHintUs is valid; the client states that this is a retry.
-COST_VALID_BIT = 1
-RETRY_BIT = 2
+# Flags in `attrs`: sizeHintUs is valid; the client states that this is a retry.
+COST_VALID_FLAG = 1
+RETRY_FLAG = 2
 # Fields whose value extends to the end of the line.
 TEXT_FIELDS = ("options", "msg")
 
@@ -77,10 +77,10 @@
     name, _, rest = line.partition(" ")
     fields = {}
     while rest:
-        word, _, after = rest.partition(" ")
-        key, equals, value = word.partition("=")
+        field, _, after = rest.partition(" ")
+        key, equals, value = field.partition("=")
         if not equals:
-            raise WireError(f"expected name=value, got {word[:60]!r} in {name[:40]!r}")
+            raise WireError(f"expected name=value, got {field[:60]!r} in {name[:40]!r}")
         if key in TEXT_FIELDS:
             value = rest[len(key) + 1 :]
             after = ""
@@ -112,11 +112,11 @@
     return {name: float(value) for name, value in pairs}
 
 
-def _read_order(fields):
+def _read_arrival(fields):
     """Return the arrival of a query, or of one of its parts if the line has a range."""
-    bits = int(fields.get("attrs", 0))
+    flags = int(fields.get("attrs", 0))
     cost_us = int(fields.get("sizeHintUs", 0))
-    if not bits & COST_VALID_BIT or cost_us <= 0:
+    if not flags & COST_VALID_FLAG or cost_us <= 0:
         cost_us = None
     if int(fields["rangeNo"]) >= 0:
         return PartArrived(
@@ -135,7 +135,7 @@
         fields.get("targetKey"),
         int(fields["dropDeadUs"]),
         cost_us,
-        bool(bits & RETRY_BIT),
+        bool(flags & RETRY_FLAG),
     )
 
 
@@ -165,7 +165,7 @@
 
 
 EVENT_READERS: dict[str, Callable[[Fields], Event]] = {
-    "ORDER": _read_order,
+    "ORDER": _read_arrival,
     "RESOLVED": _read_attempt_ended,
     "STATUS_BACK": _read_health_check_ended,
     "CLIENT_LEFT": lambda fields: ClientDisconnected(fields["ticket"]),
@@ -190,7 +190,7 @@
     SetTimer: lambda root, timer: (
         f"NOTIFY_ME root={root} label={timer.token} offsetUs={timer.delay_us}"
     ),
-    HealthCheck: lambda root, check: f"HEALTH_CHECK root={root} leaf={check.server}",
+    HealthCheck: lambda root, health_check: f"HEALTH_CHECK root={root} leaf={health_check.server}",
     Disconnect: lambda root, disconnect: f"DISCONNECT root={root} leaf={disconnect.server}",
     Subscribe: lambda root, _: f"SUBSCRIBE root={root} full=1",
     Log: lambda root, log: f"DEBUG root={root} msg={log.text}",
--- a/tests/test_simulator_adapter.py
+++ b/tests/test_simulator_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter: what the wire says reaches the module, and what the module says reaches the wire."""
+"""The simulator adapter: lines become events for the balancers, and actions become lines."""
 
 import io
 import json
@@ -8,7 +8,7 @@
 import pytest
 
 from mothnotch import simulator_adapter
-from mothnotch.decisions import interface as i
+from mothnotch.decisions import interface
 
 OPTIONS = {
     "balancers": 2,
@@ -58,14 +58,14 @@
     "overShareWorth": 0.05,
     "new key": [1],
 }
-START = [
+START_LINES = [
     f"OPEN_INSTANCE root=3 randomSeed=7 options={json.dumps(OPTIONS)}",
     "DIRECTORY table=0 membersList=2",
     "ITEM leaf=10.0.0.1:80 site=a familyType=k position=0 health=up nominal=1",
     "ITEM leaf=10.0.0.2:80 site=a familyType=k position=1 health=up nominal=1 later=field",
     "MEMBERSHIP root=3 how=cached gen=1 table=0",
 ]
-QUERY = [
+QUERY_LINES = [
     "ORDER root=3 ticket=q grade=read team=t targetKey=00aa dropDeadUs=4000000 sizeHintUs=50000 askNo=1 "
     "rangeNo=-1 measure=1 attrs=1",
     "ORDER root=3 ticket=p grade=read team=t targetKey=00ab dropDeadUs=4000000 sizeHintUs=50000 askNo=1 "
@@ -73,57 +73,59 @@
 ]
 
 
-def talk(*batches):
+def run_adapter(*batches):
     text = "".join(
         "\n".join([f"MARK nowUs={1_000_000 + n * 5000}", *lines, "OVER_TO_YOU", ""])
         for n, lines in enumerate(batches)
     )
-    out = io.StringIO()
-    code = simulator_adapter.main(io.StringIO(text), out)
-    return code, [reply.strip("\n").split("\n") for reply in out.getvalue().split("DONE\n")[:-1]]
+    output = io.StringIO()
+    exit_code = simulator_adapter.main(io.StringIO(text), output)
+    return exit_code, [
+        reply.strip("\n").split("\n") for reply in output.getvalue().split("DONE\n")[:-1]
+    ]
 
 
-def test_an_empty_batch_gets_an_empty_reply():
-    assert talk([]) == (0, [[""]])
+def test_empty_batch_gets_an_empty_reply():
+    assert run_adapter([]) == (0, [[""]])
 
 
-def test_a_query_is_sent_and_answered_over_the_wire():
-    sent = talk(START, QUERY)[1][1]
-    forward = next(line for line in sent if line.startswith("FORWARD"))
-    fields = dict(f.split("=") for f in forward.split()[1:])
+def test_query_is_sent_and_answered():
+    reply = run_adapter(START_LINES, QUERY_LINES)[1][1]
+    forward = next(line for line in reply if line.startswith("FORWARD"))
+    fields = dict(field.split("=") for field in forward.split()[1:])
     assert fields["root"] == "3" and fields["ticket"] == "p" and int(fields["limitUs"]) > 0
-    ended = [
+    attempt_ended = [
         f"RESOLVED root=3 ticket=p n=0 leaf={fields['leaf']} code=completed latencyUs=900 doneFlag=1 "
         "serverStats=outstanding:2,recent_ms:3.5"
     ]
-    code, replies = talk(START, QUERY, ended)
-    assert code == 0 and "MERGE root=3 ticket=q full=1" in replies[2]
+    exit_code, replies = run_adapter(START_LINES, QUERY_LINES, attempt_ended)
+    assert exit_code == 0 and "MERGE root=3 ticket=q full=1" in replies[2]
 
 
-def test_settings_are_read_and_unknown_ones_skipped():
-    s = simulator_adapter.parse_settings(OPTIONS)
-    read = s.classes["read"]
+def test_settings_are_parsed_and_unknown_keys_are_ignored():
+    settings = simulator_adapter.parse_settings(OPTIONS)
+    read_class = settings.classes["read"]
     assert (
-        read.min_answer_weight,
-        read.complete_weight,
-        read.idempotency,
-        read.objective_cost_factor,
+        read_class.min_answer_weight,
+        read_class.complete_weight,
+        read_class.idempotency,
+        read_class.objective_cost_factor,
     ) == (
         0.8,
         1.0,
-        i.Idempotency.IDEMPOTENT,
+        interface.Idempotency.IDEMPOTENT,
         0.0,
     )
     assert (
-        s.limits.max_attempts == 3
-        and not s.limits.health_checks
-        and s.rules.retry_budget_ratio is None
+        settings.limits.max_attempts == 3
+        and not settings.limits.health_checks
+        and settings.rules.retry_budget_ratio is None
     )
-    assert s.tenant_quotas_qps == {"t": 10.0} and s.call_overhead_us == 37000
+    assert settings.tenant_quotas_qps == {"t": 10.0} and settings.call_overhead_us == 37000
 
 
-def test_tables_are_resolved_in_event_order():
-    reuse = [
+def test_endpoint_tables_are_resolved_in_event_order():
+    reused_tables = [
         "DIRECTORY table=0 membersList=1",
         "ITEM leaf=10.0.0.1:80 site=a familyType=k position=0 health=removed nominal=1",
         "MEMBERSHIP root=3 how=delta gen=2 table=0",
@@ -131,14 +133,18 @@
         "ITEM leaf=10.0.0.9:80 site=a familyType=k position=0 health=draining nominal=1",
         "MEMBERSHIP root=3 how=delta gen=3 table=0",
     ]
-    sent = talk(START, reuse, QUERY)[1][2]
-    assert any("leaf=10.0.0.2:80" in line for line in sent if line.startswith("FORWARD"))
+    reply = run_adapter(START_LINES, reused_tables, QUERY_LINES)[1][2]
+    assert any("leaf=10.0.0.2:80" in line for line in reply if line.startswith("FORWARD"))
 
 
-def test_a_stopped_instance_forgets_and_a_new_one_starts_in_the_same_batch():
-    late = "RESOLVED root=3 ticket=p n=0 leaf=10.0.0.1:80 code=completed latencyUs=9 doneFlag=1"
-    code, replies = talk(START, QUERY, ["DOWN root=3", *START], [late])
-    assert code == 0 and not any("MERGE" in line for line in replies[3])
+def test_instance_restarted_within_a_batch_keeps_no_state():
+    late_result = (
+        "RESOLVED root=3 ticket=p n=0 leaf=10.0.0.1:80 code=completed latencyUs=9 doneFlag=1"
+    )
+    exit_code, replies = run_adapter(
+        START_LINES, QUERY_LINES, ["DOWN root=3", *START_LINES], [late_result]
+    )
+    assert exit_code == 0 and not any("MERGE" in line for line in replies[3])
 
 
 @pytest.mark.parametrize(
@@ -151,13 +157,13 @@
         "DIRECTORY table=0 membersList=2",
     ],
 )
-def test_a_line_that_is_not_the_wires_ends_with_one_message_and_no_reply(line, capsys):
-    code, replies = talk(START, [line])
-    assert code == 2 and len(replies) == 1
+def test_invalid_line_ends_the_adapter_with_one_message_and_no_reply(line, capsys):
+    exit_code, replies = run_adapter(START_LINES, [line])
+    assert exit_code == 2 and len(replies) == 1
     assert len(capsys.readouterr().err.strip().split("\n")) == 1
 
 
-def started_as(module):
+def run_module(module):
     return subprocess.run(
         [sys.executable, "-m", module],
         input="MARK nowUs=1\nOVER_TO_YOU\n",
@@ -167,13 +173,13 @@
     )
 
 
-def test_the_adapter_starts_by_its_name_without_a_word_on_standard_error():
-    done = started_as("mothnotch.simulator_adapter")
-    assert (done.returncode, done.stdout, done.stderr) == (0, "DONE\n", "")
+def test_adapter_starts_as_a_module_without_output_on_standard_error():
+    process = run_module("mothnotch.simulator_adapter")
+    assert (process.returncode, process.stdout, process.stderr) == (0, "DONE\n", "")
 
 
-def test_the_former_name_starts_the_adapter_with_one_warning_line():
-    done = started_as("mothnotch.drill")
-    assert (done.returncode, done.stdout) == (0, "DONE\n")
-    assert done.stderr.count("\n") == 1
-    assert "mothnotch.simulator_adapter" in done.stderr
+def test_deprecated_module_name_starts_the_adapter_with_one_warning_line():
+    process = run_module("mothnotch.drill")
+    assert (process.returncode, process.stdout) == (0, "DONE\n")
+    assert process.stderr.count("\n") == 1
+    assert "mothnotch.simulator_adapter" in process.stderr
