--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -1,6 +1,7 @@
-"""The wall clock of a real process of `run` is stepped, forward and back, by seconds and by an
-hour, at the instants that matter. Deadlines, windows, waits and graces are spans of real time:
-nothing may change by it.
+"""Wall clock steps of a root's process, forward and back, by seconds and by an hour.
+
+Deadlines, retry windows, delays and grace periods are measured in real time, so a step must not
+affect them. The clock is stepped at the moments at which it could.
 """
 
 import time
@@ -13,7 +14,7 @@
 from tests.support.root_process import root_process, used_link
 
 STEPS = [3.0, -3.0, 9.0, 0.9, -0.9, 3600.0, -3600.0]
-SLACK_MS = 60  # of a span, whatever the step
+SLACK_MS = 60  # tolerance of a duration at any step
 
 
 @real
@@ -25,31 +26,31 @@
     async with root_process(tmp_path) as root:
         client, link = root.client(), await used_link(root, root.home(0))
         async with root.held():
-            sent = trio.current_time()
+            sent_s = trio.current_time()
             client.now(request("r1", "read", (0,), timeout_ms=2000))
             await trio.sleep(0.1)
-            # Kernel stamps are made at arrival: those of a clock that is stepped afterwards do not
-            # move with it.
+            # The kernel takes a time stamp at arrival; a later step of the clock does not change it.
             root.control.step_wall(step_s, stamps_too=False)
             if stamps_too:
                 root.control.step_wall(0, stamps_too=True)
         letter, rest = await link.frame()
         assert letter == "m" and ids(rest) == ["r1.0"]
-        told_ms, gone_ms = frames_of(rest)[0][2], (trio.current_time() - sent) * 1000
-        # No more than the client has left, and no less than that but for what its own way took.
-        assert told_ms <= 2000 - gone_ms + 150
-        assert told_ms >= 2000 - gone_ms - 10 - SLACK_MS, (told_ms, gone_ms)
+        deadline_ms, elapsed_ms = frames_of(rest)[0][2], (trio.current_time() - sent_s) * 1000
+        # At most the client's remaining time, and less only by the delay of the request itself.
+        assert deadline_ms <= 2000 - elapsed_ms + 150
+        assert deadline_ms >= 2000 - elapsed_ms - 10 - SLACK_MS, (deadline_ms, elapsed_ms)
         await link.good("r1.0")
         assert (await client.answer())[0] == 200
 
 
 @real
 @pytest.mark.parametrize("step_s", [0.0, 3.0, -3.0, 3600.0])
-async def test_a_request_that_came_on_a_new_connection_during_a_hold_up_counts_from_when_it_came(
+async def test_a_request_on_a_new_connection_during_a_stall_counts_from_its_arrival(
     tmp_path, step_s
 ):
-    """Five connections wait to be accepted, each with its request: the root looks at one after
-    another.
+    """Five connections with a request each wait to be accepted while the root is stopped.
+
+    The root accepts them one by one afterwards; each deadline must count from the arrival.
     """
     async with root_process(tmp_path) as root:
         home = root.home(0)
@@ -57,22 +58,22 @@
             clients = [root.client() for _ in range(5)]
             for n, client in enumerate(clients):
                 client.now(request(f"r{n}", "read", (0,), timeout_ms=2000))
-            sent = trio.current_time()
+            sent_s = trio.current_time()
             await trio.sleep(0.5)
             root.control.step_wall(step_s)
-        link, told = await home.link(), []
-        while len(told) < 5:
+        link, deadlines_ms = await home.link(), []
+        while len(deadlines_ms) < 5:
             letter, rest = await link.frame()
-            told += [ms for _, _, ms in frames_of(rest)] if letter == "m" else []
-        left_ms = 2000 - (trio.current_time() - sent) * 1000
-        assert max(told) <= left_ms + 150, (told, left_ms)
-        assert min(told) >= left_ms - 150, (told, left_ms)
+            deadlines_ms += [ms for _, _, ms in frames_of(rest)] if letter == "m" else []
+        left_ms = 2000 - (trio.current_time() - sent_s) * 1000
+        assert max(deadlines_ms) <= left_ms + 150, (deadlines_ms, left_ms)
+        assert min(deadlines_ms) >= left_ms - 150, (deadlines_ms, left_ms)
 
 
 @real
 @pytest.mark.parametrize("step_s", [3.0, 3600.0, -3600.0])
 async def test_a_step_between_an_answers_arrival_and_its_read_blames_no_leaf(tmp_path, step_s):
-    """The answer lies in the kernel when the clock steps; what follows still goes to the same leaf."""
+    """The answer is unread in the kernel at the step; later parts must still go to the same leaf."""
     async with root_process(tmp_path) as root:
         home, client = root.home(0), root.client()
         for n in range(4):
@@ -87,10 +88,8 @@
             assert (await client.answer())[0] == 200
 
 
-def slow_start():
-    """Settings under which one root gives a leaf that has just started some 17 parts of 50 ms in
-    three seconds.
-    """
+def slow_start_settings():
+    """Return settings under which a root sends a new leaf about 17 parts of 50 ms in three seconds."""
     return {
         "rules": {"coldFrom": 0.2, "rampTimeUs": 60_000_000, "fallUs": 3_000_000},
         "limits": {"openCap": 400},
@@ -98,10 +97,10 @@
 
 
 async def parts_sent_to(root, leaf, count, prefix):
-    """How many of so many single parts of shard 0, sent within a second, reach a leaf first."""
+    """Send `count` parts of shard 0 within a second; return how many reach `leaf` first."""
     reached = []
 
-    async def link_of(link):
+    async def serve(link):
         while (found := await link.frame()) is not None:
             for wire_id in ids(found[1]) if found[0] == "m" else ():
                 reached.append(wire_id)
@@ -109,7 +108,7 @@
 
     async def accept():
         while True:
-            root.rig.nursery.start_soon(link_of, await leaf.link())
+            root.rig.nursery.start_soon(serve, await leaf.link())
 
     root.rig.nursery.start_soon(accept)
 
@@ -128,30 +127,30 @@
 
 @real
 @pytest.mark.parametrize("step_s", [0.0, 3600.0, 30.0, -3600.0])
-async def test_a_leaf_that_has_just_started_is_cold_whatever_the_wall_clock_says(tmp_path, step_s):
-    async with root_process(tmp_path, **slow_start()) as root:
+async def test_a_recently_started_leaf_is_cold_at_any_wall_clock_time(tmp_path, step_s):
+    async with root_process(tmp_path, **slow_start_settings()) as root:
         home, other = root.holders(0)
         root.control.step_wall(step_s)
         await trio.sleep(0.1)
         await root.rig.first.say(41, root.rig.target(home, boot_ms=int((time.time() - 1) * 1000)))
         await trio.sleep(0.2)
-        root.rig.nursery.start_soon(parts_elsewhere, root, other)
-        sent = await parts_sent_to(root, home, 60, "r")
-        # Of mean work (50 ms and 3 for the call): 1.5 times 0.2 of a core for 3 s, and what its age
-        # adds; 61 if it were warm.
-        assert sent <= 28, sent
+        root.rig.nursery.start_soon(keep_other_leaf_busy, root, other)
+        sent_count = await parts_sent_to(root, home, 60, "r")
+        # In parts of mean work (50 ms, and 3 ms for the call): 1.5 times 0.2 of a core for 3 s, plus
+        # the increase with the leaf's age. A warm leaf would get 61.
+        assert sent_count <= 28, sent_count
 
 
-async def parts_elsewhere(root, leaf):
+async def keep_other_leaf_busy(root, leaf):
     await parts_sent_to(root, leaf, 0 or 1, "x")
     await trio.sleep_forever()
 
 
 @real
 @pytest.mark.parametrize("step_s", [0.0, 3600.0, -3600.0])
-async def test_a_cold_leaf_that_lists_name_again_and_again_gets_no_more_for_it(tmp_path, step_s):
-    """Whole lists with the same start time, as after each reset of a watch."""
-    async with root_process(tmp_path, **slow_start()) as root:
+async def test_repeated_lists_do_not_give_a_cold_leaf_more_parts(tmp_path, step_s):
+    """Repeated snapshots with the same start time, as after each reset of a watch."""
+    async with root_process(tmp_path, **slow_start_settings()) as root:
         home, other = root.holders(0)
         boot_ms = int((time.time() - 1) * 1000)
         targets = [
@@ -161,24 +160,22 @@
         await root.rig.first.say(41, *targets, whole=True)
         await trio.sleep(0.1)
 
-        async def again():
+        async def repeat_list():
             for rev in range(42, 90):
                 root.control.step_wall(step_s if rev % 2 else -step_s)
                 await root.rig.first.say(rev, *targets, whole=True)
                 await trio.sleep(0.02)
 
-        root.rig.nursery.start_soon(again)
-        root.rig.nursery.start_soon(parts_elsewhere, root, other)
-        sent = await parts_sent_to(root, home, 60, "r")
-        assert sent <= 28, sent
+        root.rig.nursery.start_soon(repeat_list)
+        root.rig.nursery.start_soon(keep_other_leaf_busy, root, other)
+        sent_count = await parts_sent_to(root, home, 60, "r")
+        assert sent_count <= 28, sent_count
 
 
 @real
 @pytest.mark.parametrize("step_s", [3600.0, -3600.0])
-async def test_a_step_opens_no_window_of_a_keyed_part(tmp_path, step_s):
-    """A keyed part whose leaf reset it may go again for its window of real time, 0.8 s, and not
-    after.
-    """
+async def test_a_step_does_not_extend_the_retry_window_of_a_keyed_part(tmp_path, step_s):
+    """A part with an idempotency key may be retried only within its window, 0.8 s of real time."""
     async with root_process(tmp_path, lanes=keyed(0.8)) as root:
         home, other, client = *root.holders(0), root.client()
         client.now(request("r1", "hold", (0,), key="k", timeout_ms=6000))
@@ -186,13 +183,13 @@
         assert await link.call() == ["r1.0"]
         await trio.sleep(1.0)
         root.control.step_wall(step_s)
-        link.stream.socket.close()  # it may have run, and its window is over
+        link.stream.socket.close()  # the part may have run, and its retry window is over
         assert (await client.answer())[0] == 504
         await other.nobody()
 
 
-def test_repeated_log_lines_are_bounded_by_real_time():
-    """After a step back by an hour a repeated event is not silent for an hour."""
+def test_suppression_of_repeated_log_lines_is_bounded_by_real_time():
+    """A repeated event must not be suppressed for an hour after the clock steps back by an hour."""
     from mothnotch.node.log import Log
 
     class Lines(list):
--- a/tests/test_connection_quota.py
+++ b/tests/test_connection_quota.py
@@ -1,12 +1,12 @@
-"""At the quota of connections to leaves, idle ones are closed for new ones."""
+"""At the limit of connections to leaves, idle connections are closed in favour of new ones."""
 
 from mothnotch.standins.platform import request
 from tests.support.platform_rig import real, rig, until
 
 
 @real
-async def test_at_the_share_the_longest_idle_connection_goes_for_a_new_one():
-    """Idle connections to some leaves must not keep a root from asking others."""
+async def test_at_the_limit_the_longest_idle_connection_is_closed_for_a_new_one():
+    """Guards against idle connections to some leaves that block queries to others."""
     async with rig() as r:
         r.root.pool.max_connections = 2
         client, links = r.client(), {}
@@ -19,12 +19,12 @@
             assert await links[n].call() == [f"r{n}.{n}"]
             await links[n].good(f"r{n}.{n}", after_s=0.3)
             assert (await client.answer())[0] == 200
-        assert await links[first].frame() is None  # the longest idle went
+        assert await links[first].frame() is None  # the longest idle one was closed
         assert r.root.pool.open_count == 2 and r.root.pool.counts["over_most"] == 0
 
 
 @real
-async def test_at_the_share_no_connection_in_use_goes_for_a_new_one():
+async def test_at_the_limit_no_connection_in_use_is_closed_for_a_new_one():
     async with rig() as r:
         r.root.pool.max_connections = 2
         homes = [r.home(shard) for shard in range(8)]
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -1,6 +1,4 @@
-"""What an answer says of its coverage: whole only if all is in, shares rounded down, reasons, and
-what was really read.
-"""
+"""Coverage of answers: completeness, rounding of shares, reasons and the ranges actually read."""
 
 import math
 
@@ -18,33 +16,33 @@
 from tests.support.virtual_clock import play
 
 
-def cover(*weights, missing=()):
+def coverage_of(*weights, missing=()):
     return Coverage(
         tuple(
-            RangeCoverage(n, n, w, n not in missing, "" if n not in missing else "x")
-            for n, w in enumerate(weights)
+            RangeCoverage(n, n, weight, n not in missing, "" if n not in missing else "x")
+            for n, weight in enumerate(weights)
         )
     )
 
 
-def test_share_is_one_only_if_every_piece_is_in():
-    assert cover(0.5, 0.5).share == 1.0 and cover(0.5, 0.5).complete
-    tiny = cover(1.0, 1e-300, missing=(1,))
+def test_share_is_one_only_if_every_range_is_answered():
+    assert coverage_of(0.5, 0.5).share == 1.0 and coverage_of(0.5, 0.5).complete
+    tiny = coverage_of(1.0, 1e-300, missing=(1,))
     assert not tiny.complete and tiny.share < 1.0 and tiny.percent == 99
-    assert cover(0.0, 0.0).complete and Coverage(()).complete
+    assert coverage_of(0.0, 0.0).complete and Coverage(()).complete
 
 
-def test_exactly_eighty_percent_and_one_ulp_below():
-    assert cover(0.8, 0.2, missing=(1,)).percent == 80
+def test_percent_is_80_at_exactly_80_and_79_one_ulp_below():
+    assert coverage_of(0.8, 0.2, missing=(1,)).percent == 80
     below = math.nextafter(0.8, 0)
-    assert cover(below, 1 - below, missing=(1,)).percent == 79
+    assert coverage_of(below, 1 - below, missing=(1,)).percent == 79
     assert (
-        cover(*[0.2] * 5, missing=(4,)).percent == 80
-        and cover(*[1 / 24] * 24, missing=range(5)).percent == 79
+        coverage_of(*[0.2] * 5, missing=(4,)).percent == 80
+        and coverage_of(*[1 / 24] * 24, missing=range(5)).percent == 79
     )
 
 
-def test_every_end_of_an_attempt_has_its_words_and_reasons_are_grouped():
+def test_every_attempt_result_has_a_reason_and_reasons_are_grouped():
     assert set(MISSING_REASONS) == {None, *Result}
     assert format_reasons(
         [
@@ -56,56 +54,62 @@
 
 
 @pytest.mark.parametrize(
-    "trouble, words",
+    "trouble, expected_reasons",
     [
         ("hang", (IN_FLIGHT_REASON, MISSING_REASONS[Result.TIMEOUT])),
         ("stop", (MISSING_REASONS[Result.UNREACHABLE], MISSING_REASONS[Result.BROKEN])),
     ],
 )
-def test_partial_answer_names_ranges_reasons_and_leaves_as_they_were(trouble, words):
+def test_partial_answer_reports_actual_ranges_reasons_and_leaves(trouble, expected_reasons):
     async def test(world):
-        c = await world.client()
-        await c.query("SET mothnotch.class = 'stock-search'")
-        whole = await c.query("SELECT bin FROM stock")
-        assert not whole.notices
-        rows = (await c.query("SELECT answered, why, leaf FROM mothnotch_coverage")).rows
+        client = await world.client()
+        await client.query("SET mothnotch.class = 'stock-search'")
+        complete = await client.query("SELECT bin FROM stock")
+        assert not complete.notices
+        rows = (await client.query("SELECT answered, why, leaf FROM mothnotch_coverage")).rows
         assert len(rows) == 24 and all(row[:2] == [b"t", None] for row in rows)
-        for n in (0, 1):  # both holders of ranges 0, 8 and 16
+        for n in (0, 1):  # all holders of ranges 0, 8 and 16
             leaf = world.fleet.leaves[f"leaf-{n}"]
             if trouble == "hang":
                 leaf.trouble.hang = True
             else:
                 leaf.stop()
         await trio.sleep(0.1)
-        at, seen = trio.current_time(), len(world.seen)
-        reply = await c.query("SELECT bin FROM stock")
-        took = trio.current_time() - at
+        started_s, seen_count = trio.current_time(), len(world.seen)
+        reply = await client.query("SELECT bin FROM stock")
+        elapsed_s = trio.current_time() - started_s
         (notice,) = reply.notices
-        assert "87% of the worth" in notice.text and any(word in notice.detail for word in words)
-        rows = (await c.query("SELECT * FROM mothnotch_coverage")).rows
+        assert "87% of the worth" in notice.text and any(
+            reason in notice.detail for reason in expected_reasons
+        )
+        rows = (await client.query("SELECT * FROM mothnotch_coverage")).rows
         missing = {int(row[0]) // 100 for row in rows if row[3] == b"f"}
         assert missing == {0, 8, 16} and all(
-            row[4].decode() in words for row in rows if row[3] == b"f"
+            row[4].decode() in expected_reasons for row in rows if row[3] == b"f"
         )
         assert {int(row[0]) // 100 for row in reply.rows} == set(range(24)) - missing
-        done = {(s.leaf, s.shard) for s in world.seen[seen:] if s.what == "done"}
+        done = {
+            (event.leaf, event.shard) for event in world.seen[seen_count:] if event.what == "done"
+        }
         for row in rows:
             if row[3] == b"t":
                 assert (row[5].decode(), int(row[0]) // 100) in done and 0 <= float(
                     row[6]
-                ) <= 1000 * took
+                ) <= 1000 * elapsed_s
         assert sum(float(row[2]) for row in rows if row[3] == b"t") == pytest.approx(21 / 24)
 
     play(test)
 
 
-def test_coverage_takes_columns_alone():
+def test_coverage_table_supports_only_plain_columns():
     async def test(world):
-        c = await world.client()
-        assert (await c.query("SELECT * FROM mothnotch_coverage")).rows == []
-        assert (await c.query("SELECT nothing FROM mothnotch_coverage")).error.sqlstate == "42703"
+        client = await world.client()
+        assert (await client.query("SELECT * FROM mothnotch_coverage")).rows == []
+        assert (
+            await client.query("SELECT nothing FROM mothnotch_coverage")
+        ).error.sqlstate == "42703"
         assert (
-            await c.query("SELECT why FROM mothnotch_coverage WHERE answered")
+            await client.query("SELECT why FROM mothnotch_coverage WHERE answered")
         ).error.sqlstate == "0A000"
 
     play(test)
--- a/tests/test_decisions_beside.py
+++ b/tests/test_decisions_beside.py
@@ -1,5 +1,6 @@
-"""The pure decisions beside the module: outcomes, requests, transactions, the roster; and the bench
-day's translation.
+"""Unit tests of the decision modules outside the balancer.
+
+They cover outcomes, request classes, transactions, endpoint lists and benchmark-day conversion.
 """
 
 import pytest
@@ -30,16 +31,16 @@
         ("23505", Fault.QUERY, i.Result.OK),
     ],
 )
-def test_whose_fault_an_error_is(sqlstate, fault, result):
+def test_errors_are_attributed_to_the_server_or_the_query(sqlstate, fault, result):
     assert outcomes.classify_error(sqlstate) == LeafError(fault, result)
 
 
-def test_before_commit_everything_is_proven_not_to_have_run():
+def test_before_commit_every_result_means_that_nothing_ran():
     assert all(outcomes.result_before_commit(result) in i.NEVER_RAN for result in i.Result)
     assert outcomes.result_before_commit(i.Result.REJECTED) is i.Result.REJECTED
 
 
-def test_what_clients_are_told():
+def test_errors_sent_to_clients():
     error = outcomes.rejection(300_001)
     assert (error.sqlstate, error.detail) == ("53000", "retry_after_ms=301")
     assert "301 ms" in error.hint
@@ -62,7 +63,7 @@
 }
 
 
-def test_a_write_never_goes_under_a_class_for_reads():
+def test_writes_never_use_a_class_for_reads_nor_reads_one_for_writes():
     assert request_classes.class_of(CLASSES, None, False) == "lookup"
     assert request_classes.class_of(CLASSES, "search", False) == "search"
     assert request_classes.class_of(CLASSES, "search", True) == "hold"
@@ -73,7 +74,7 @@
         request_classes.class_of({"hold": ClassKind(True, True)}, None, False)
 
 
-def test_time_and_weights():
+def test_request_timeouts_and_part_weights():
     assert (
         request_classes.request_timeout_us(1000, 0) == 1000
         and request_classes.request_timeout_us(1000, 400) == 400
@@ -84,12 +85,12 @@
     assert sum(request_classes.part_weights(range(3), lambda s: 0)) == pytest.approx(1)
 
 
-def test_costs_stay_near_the_least_and_bounded():
+def test_cost_estimates_stay_near_the_lowest_latency_and_bounded():
     costs = request_classes.CostEstimator(max_estimates=6)
     assert costs.estimate_us("a", "k") is None
     costs.record("a", "k", 1000)
     for _ in range(20):
-        costs.record("a", "k", 50_000)  # queueing is not work
+        costs.record("a", "k", 50_000)  # queueing does not count as work
     assert 1000 <= costs.estimate_us("a", "k") < 15_000
     for _ in range(8):
         costs.record("a", "k", 1000)
@@ -100,42 +101,50 @@
     assert len(costs.estimates_us) == 6 and "k" in costs.estimates_us
 
 
-def test_transactions_hold_one_range():
-    tx = transactions.Transaction(max_entries=3)
+def test_transactions_write_to_a_single_range():
+    transaction = transactions.Transaction(max_entries=3)
     with pytest.raises(transactions.RequestRejectedError):
-        tx.add_savepoint("a")
-    tx.begin()
-    tx.check_write(4, False)
-    tx.buffer_write(BufferedWrite("w1", 1, None), 4, "holds")
+        transaction.add_savepoint("a")
+    transaction.begin()
+    transaction.check_write(4, False)
+    transaction.buffer_write(BufferedWrite("w1", 1, None), 4, "holds")
     for shard, returning in ((5, False), (4, True)):
         with pytest.raises(transactions.RequestRejectedError):
-            tx.check_write(shard, returning)
+            transaction.check_write(shard, returning)
     with pytest.raises(transactions.RequestRejectedError, match="holds"):
-        tx.check_read(["stock", "holds"])
-    tx.check_read(["stock"])
-    tx.add_savepoint("a")
-    tx.buffer_write(BufferedWrite("w2", 1, None), 4, "stock")
-    tx.mark_failed()
+        transaction.check_read(["stock", "holds"])
+    transaction.check_read(["stock"])
+    transaction.add_savepoint("a")
+    transaction.buffer_write(BufferedWrite("w2", 1, None), 4, "stock")
+    transaction.mark_failed()
     with pytest.raises(transactions.RequestRejectedError):
-        tx.check_not_failed()
-    tx.rollback_to_savepoint("a")
-    assert tx.status is transactions.Status.OPEN and len(tx.writes) == 1 and tx.tables == {"holds"}
-    tx.release_savepoint("a")
+        transaction.check_not_failed()
+    transaction.rollback_to_savepoint("a")
+    assert (
+        transaction.status is transactions.Status.OPEN
+        and len(transaction.writes) == 1
+        and transaction.tables == {"holds"}
+    )
+    transaction.release_savepoint("a")
     with pytest.raises(transactions.RequestRejectedError, match="does not exist"):
-        tx.rollback_to_savepoint("a")
-    tx.buffer_write(BufferedWrite("w3", 1, None), 4, "stock")
-    tx.buffer_write(BufferedWrite("w4", 1, None), 4, "stock")
+        transaction.rollback_to_savepoint("a")
+    transaction.buffer_write(BufferedWrite("w3", 1, None), 4, "stock")
+    transaction.buffer_write(BufferedWrite("w4", 1, None), 4, "stock")
     with pytest.raises(transactions.RequestRejectedError, match="3 writes at most"):
-        tx.check_write(4, False)
-    tx.reset()
-    assert tx.status is transactions.Status.IDLE and not tx.writes and tx.shard is None
-    tx.begin(read_only=True)
+        transaction.check_write(4, False)
+    transaction.reset()
+    assert (
+        transaction.status is transactions.Status.IDLE
+        and not transaction.writes
+        and transaction.shard is None
+    )
+    transaction.begin(read_only=True)
     with pytest.raises(transactions.RequestRejectedError) as caught:
-        tx.check_write(4, False)
+        transaction.check_write(4, False)
     assert caught.value.sqlstate == "25006"
 
 
-def test_counts_must_agree_with_what_was_told():
+def test_row_counts_must_equal_those_reported():
     assert transactions.counts_agree([1, None], [1, 7]) and not transactions.counts_agree(
         [1, 2], [1, 3]
     )
@@ -148,7 +157,7 @@
     assert len(errors) == 4 and all("'a'" in e for e in errors)
 
 
-def test_a_roster_that_names_nobody_does_not_take_the_fleet_away():
+def test_an_empty_roster_does_not_remove_all_leaves():
     up = [Leaf("a", "h:1", "z", 0)]
     assert endpoint_list.removes_whole_fleet(up, []) and endpoint_list.removes_whole_fleet(
         up, [Leaf("a", "h:1", "z", 0, "removed")]
@@ -158,7 +167,7 @@
     ) and not endpoint_list.removes_whole_fleet([], [])
 
 
-def test_start_times_move_to_the_roots_clock():
+def test_start_times_are_converted_to_the_roots_clock():
     leaves = [
         Leaf("old", "h:1", "z", 0, started=None),
         Leaf("new", "h:2", "z", 0, started=990.0),
@@ -174,7 +183,7 @@
     assert found == {"old": 0, "new": 50_000_000, "future": 60_000_000, "before": 0}
 
 
-def test_bench_day_becomes_a_script():
+def test_bench_day_is_converted_to_a_script():
     day = {
         "length": 40_000_000,
         "balancers": [0] * 9,
--- a/tests/test_few_places.py
+++ b/tests/test_few_places.py
@@ -1,6 +1,7 @@
-"""A leaf that works on few parts of a connection and cannot stop one that runs: what is given up
-there keeps its place until it is done, and with all places taken the leaf reads nothing, not even
-the word that another part is given up.
+"""A leaf with few streams on a connection that cannot stop a running part.
+
+A cancelled part occupies its stream until it is finished. With all streams occupied the leaf reads
+nothing, not even the cancellation of another part.
 """
 
 import trio
@@ -10,12 +11,13 @@
 from tests.support.platform_rig import ids, real
 from tests.support.root_process import root_process
 
-PLACES = 4  # parts that the leaf works on, a connection
+STREAMS = 4  # parts that the leaf works on at once, for each connection
+
 
+class SaturatedLeaf:
+    """A leaf that starts up to STREAMS parts of a connection and never finishes one.
 
-class BusyLeaf:
-    """Takes up to PLACES parts of a connection and never stops one: it reads no further frame while
-    all are taken.
+    It reads no further frame while all streams are occupied. Every event is added to `record`.
     """
 
     def __init__(self, leaf, nursery, record):
@@ -23,75 +25,79 @@
 
     async def run(self):
         while True:
-            self.nursery.start_soon(self.link, await self.leaf.link())
+            self.nursery.start_soon(self.serve, await self.leaf.link())
 
-    async def link(self, link):
-        running, done = set(), trio.Event()
-        while (found := await link.frame()) is not None:
-            letter, rest = found
+    async def serve(self, link):
+        running, finished = set(), trio.Event()
+        while (frame := await link.frame()) is not None:
+            letter, rest = frame
             if letter == "n":
-                self.record.append((trio.current_time(), self.leaf.name, "given up", rest.decode()))
+                self.record.append(
+                    (trio.current_time(), self.leaf.name, "cancelled", rest.decode())
+                )
                 continue
             for wire_id in ids(rest):
                 running.add(wire_id)
-                self.record.append((trio.current_time(), self.leaf.name, "begun", wire_id))
-            while len(running) >= PLACES:
-                await done.wait()  # nothing ends in this test: work goes on to its end
+                self.record.append((trio.current_time(), self.leaf.name, "started", wire_id))
+            while len(running) >= STREAMS:
+                await finished.wait()  # never set: no part finishes in this test
         self.record.append((trio.current_time(), self.leaf.name, "closed", ""))
 
 
-def few_places():
+def settings_with_few_streams():
     lanes = [{**lane, "aimUs": 1_000_000, "deadlineUs": 6_000_000} for lane in options()["lanes"]]
-    return {"limits": {"multiplex": PLACES, "maxAttempts": 3}, "lanes": lanes}
+    return {"limits": {"multiplex": STREAMS, "maxAttempts": 3}, "lanes": lanes}
 
 
 @real
-async def test_a_part_given_up_while_it_runs_keeps_its_place_so_no_other_words_lie_unread(tmp_path):
-    """Three parts are out on a connection with four places; one is given up, another comes, then a
-    second is given up and goes to the other holder: the leaf has to have been told before that
-    begins.
+async def test_a_cancelled_part_occupies_its_stream_and_leaves_no_cancellation_unread(tmp_path):
+    """Guards against starting a part elsewhere before its first leaf could read the cancellation.
+
+    Three parts are in flight on a connection with four streams. One is cancelled, another part is
+    sent, and then a second one is cancelled and moves to the other holder. The first leaf must have
+    read that cancellation, or its connection must be closed.
     """
-    async with root_process(tmp_path, **few_places()) as root:
+    async with root_process(tmp_path, **settings_with_few_streams()) as root:
         home, other = root.holders(0)
         record = []
         warm = root.client()
         warm.now(request("warm", "read", (0,), timeout_ms=4000))
         link = await home.link()
         assert await link.call() == ["warm.0"]
-        await link.good(
-            "warm.0", after_s=0.3
-        )  # so that silence for less is no doubt of the connection
+        # Sets the median latency, so that a shorter silence does not make the connection suspect.
+        await link.good("warm.0", after_s=0.3)
         assert (await warm.answer())[0] == 200
 
-        busy = BusyLeaf(home, root.rig.nursery, record)
-        elsewhere = BusyLeaf(other, root.rig.nursery, record)
+        busy = SaturatedLeaf(home, root.rig.nursery, record)
+        elsewhere = SaturatedLeaf(other, root.rig.nursery, record)
         root.rig.nursery.start_soon(busy.run)
         root.rig.nursery.start_soon(elsewhere.run)
 
-        async def first_link():
-            await busy.link(link)
+        async def serve_first_link():
+            await busy.serve(link)
 
-        root.rig.nursery.start_soon(first_link)
+        root.rig.nursery.start_soon(serve_first_link)
         clients = [root.client() for _ in range(4)]
         for n in range(3):
             clients[n].now(request(f"r{n}", "read", (0,), timeout_ms=5000))
             await trio.sleep(0.05)
-        clients[0].leave()  # r0 is given up; its leaf goes on with it
+        clients[0].leave()  # r0 is cancelled; its leaf goes on with it
         await trio.sleep(0.05)
         clients[3].now(request("r3", "read", (0,), timeout_ms=5000))
-        with trio.move_on_after(3.5):  # the leaf is silent: what is stuck there moves on
-            while not any(leaf == other.name and what == "begun" for _, leaf, what, _ in record):
+        # The leaf is silent, so that its stuck parts move to the other holder.
+        with trio.move_on_after(3.5):
+            while not any(leaf == other.name and what == "started" for _, leaf, what, _ in record):
                 await trio.sleep(0.02)
         await trio.sleep(0.2)
-        begun_elsewhere = [
-            wire_id for _, leaf, what, wire_id in record if leaf == other.name and what == "begun"
+        started_elsewhere = [
+            wire_id for _, leaf, what, wire_id in record if leaf == other.name and what == "started"
         ]
-        assert begun_elsewhere, record
-        for wire_id in begun_elsewhere:
-            told = any(
-                leaf == home.name and what == "given up" and found == wire_id
-                for _, leaf, what, found in record
+        assert started_elsewhere, record
+        for wire_id in started_elsewhere:
+            cancellation_read = any(
+                leaf == home.name and what == "cancelled" and cancelled_id == wire_id
+                for _, leaf, what, cancelled_id in record
             )
-            assert told or any(
+            assert cancellation_read or any(
                 what == "closed" for _, leaf, what, _ in record if leaf == home.name
             ), (wire_id, record)
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -1,4 +1,4 @@
-"""A root that is held up blames no leaf for it, as its own lag is not the leaf's latency."""
+"""Stalls of the root: its own delay must not count as latency of a leaf."""
 
 import time
 
@@ -9,13 +9,13 @@
 from tests.support.root_process import root_process
 
 ROUNDS = 10
-# What the leaf takes for a part, in seconds; its timeout is three times that.
+# Time that the leaf takes for a part; the timeout of an attempt becomes three times that.
 WORK_S = 0.2
-HOLD_UP_S = 0.8
+STALL_S = 0.8
 
 
-async def warm(client, leaf, count):
-    """So many answers after WORK_S each, so that the root knows what is usual; the leaf's link."""
+async def warm_up(client, leaf, count):
+    """Answer `count` parts after WORK_S each, to set the median latency; return the leaf's link."""
     for n in range(count):
         client.now(request(f"w{n}", "read", (0,), timeout_ms=4000))
         if not n:
@@ -27,34 +27,34 @@
 
 
 @real
-async def test_an_answer_that_came_during_a_hold_up_is_read_before_its_timeout_is_looked_at(
+async def test_an_answer_received_during_a_stall_is_read_before_its_timeout_is_checked(
     tmp_path,
 ):
     """Guards against moving a part away from a leaf that has answered it.
 
-    The process is stopped while it waits; when it goes on, the answer lies unread and the review
-    of its part is due.
+    The process is stopped while it waits. When it resumes, the answer is unread in the socket and
+    the timeout of the attempt is due.
     """
     async with root_process(tmp_path) as root:
         home, client = root.home(0), root.client()
-        link = await warm(client, home, 3)
+        link = await warm_up(client, home, 3)
         for n in range(ROUNDS):
             client.now(request(f"r{n}", "read", (0,), timeout_ms=4000))
-            # Fails by the letter of the frame if the part of the round before was cancelled.
+            # Fails on the type of the frame if the previous round's part was cancelled.
             assert await link.call() == [f"r{n}.0"]
             async with root.held():
                 await link.good(f"r{n}.0", after_s=WORK_S)
-                await trio.sleep(HOLD_UP_S)
+                await trio.sleep(STALL_S)
             assert (await client.answer())[0] == 200
 
 
 @real
-async def test_a_hold_up_between_a_send_and_its_record_takes_nothing_from_the_latency():
-    """Guards against a leaf that looks faster than any is, and is then given no time."""
+async def test_a_stall_between_a_send_and_its_record_does_not_shorten_the_latency():
+    """Guards against a latency that is too low, from which later timeouts would be too short."""
     async with rig() as root:
         sent_s, send_now = [], root.network.send_now
 
-        def send_and_halt(stream, data):
+        def send_then_stall(stream, data):
             if data[4:5] != b"m":
                 return send_now(stream, data)
             sent_s.append(trio.current_time())
@@ -62,7 +62,7 @@
             time.sleep(0.05)
             return count
 
-        root.network.send_now = send_and_halt
+        root.network.send_now = send_then_stall
         client = root.client()
         client.now(request("r1", "read", (0,), timeout_ms=4000))
         link = await root.home(0).link()
@@ -74,19 +74,19 @@
 
 
 @real
-async def test_a_hold_up_before_a_send_takes_nothing_from_the_time_that_the_leaf_is_given():
-    """Guards against moving a part that its leaf has only just been sent."""
+async def test_a_stall_before_a_send_does_not_shorten_the_time_given_to_the_leaf():
+    """Guards against moving a part that has only just been sent to its leaf."""
     async with rig() as root:
         client, core = root.client(), root.root.core
-        link = await warm(client, root.home(0), 4)
+        link = await warm_up(client, root.home(0), 4)
         send_now = root.network.send_now
 
-        def halt_and_send(stream, data):
+        def stall_then_send(stream, data):
             if data[4:5] == b"m":
-                time.sleep(HOLD_UP_S)
+                time.sleep(STALL_S)
             return send_now(stream, data)
 
-        root.network.send_now = halt_and_send
+        root.network.send_now = stall_then_send
         client.now(request("r1", "read", (0,), timeout_ms=4000))
         assert await link.call() == ["r1.0"]
         root.network.send_now = send_now
