--- a/tests/test_root_errors.py
+++ b/tests/test_root_errors.py
@@ -1,11 +1,11 @@
-"""Errors of the root's own cost the request or the connection that met them, and no root."""
+"""An unexpected error fails only the request or connection that triggers it, never the root."""
 
 import gc
 
 import pytest
 import trio
 
-from mothnotch.decisions import interface as i
+from mothnotch.decisions import interface
 from mothnotch.node import frames
 from mothnotch.standins.platform import request
 from tests.support.platform_rig import (
@@ -17,19 +17,19 @@
 
 
 @real
-async def test_an_error_in_the_module_costs_the_query_that_met_it_and_no_other():
+async def test_error_in_the_balancer_fails_only_the_query_that_triggers_it():
     async with rig() as r:
         home, other, client = r.home(0), r.client(), r.client()
         other.now(request("r1", "read", (0,)))
         link = await home.link()
         assert await link.call() == ["r1.0"]
-        b = r.root.core.balancer
-        b.handlers[i.PartArrived] = lambda event: 1 / 0
+        balancer = r.root.core.balancer
+        balancer.handlers[interface.PartArrived] = lambda event: 1 / 0
         client.now(request("r2", "read", (0,)))
-        with trio.fail_after(0.9):  # not by its time, which is a second
+        with trio.fail_after(0.9):  # fails at once, not at its timeout of one second
             got = await client.answer()
-        assert got[0] == 503  # nothing of it was sent
-        b.handlers[i.PartArrived] = b.arrivals.on_part_arrived
+        assert got[0] == 503  # no part of it was sent
+        balancer.handlers[interface.PartArrived] = balancer.arrivals.on_part_arrived
         await link.good("r1.0", after_s=0.3)
         assert (await other.answer())[0] == 200
         client.now(request("r3", "read", (0,)))
@@ -41,62 +41,62 @@
 
 
 @real
-async def test_an_error_on_one_answers_way_out_costs_that_connection_and_no_other(monkeypatch):
+async def test_error_while_an_answer_is_written_fails_only_that_connection(monkeypatch):
     async with rig() as r:
-        home, bad, good = r.home(0), r.client(), r.client()
-        bad.now(request("r1", "read", (0,)))
+        home, failing, good = r.home(0), r.client(), r.client()
+        failing.now(request("r1", "read", (0,)))
         link = await home.link()
         assert await link.call() == ["r1.0"]
         good.now(request("r2", "read", (0,)))
         assert await link.call() == ["r2.0"]
         finish = r.root.frontend.handler.finish
 
-        def broken(client, query, outcome):
+        def failing_finish(client, query, outcome):
             if client.request_id == "r1":
-                raise ValueError("planted")
+                raise ValueError("injected")
             finish(client, query, outcome)
 
-        monkeypatch.setattr(r.root.frontend.handler, "finish", broken)
+        monkeypatch.setattr(r.root.frontend.handler, "finish", failing_finish)
         await link.good("r1.0")
         await link.good("r2.0")
-        assert (await good.answer())[0] == 200 and (await bad.answer())[0] == 500
+        assert (await good.answer())[0] == 200 and (await failing.answer())[0] == 500
         await r.empty()
 
 
 @real
-@pytest.mark.parametrize("where", ["answer", "list", "action", "send"])
-async def test_an_error_on_what_leaves_or_the_agent_say_or_in_a_step_of_a_turn_ends_no_root(
-    monkeypatch, where
+@pytest.mark.parametrize("failure_point", ["answer", "list", "action", "send"])
+async def test_error_in_processing_input_or_in_a_step_of_a_turn_does_not_stop_the_root(
+    monkeypatch, failure_point
 ):
     async with rig() as r:
         home, client = r.home(0), r.client()
         client.now(request("r1", "read", (0,)))
         link = await home.link()
         assert await link.call() == ["r1.0"]
-        if where == "answer":
+        if failure_point == "answer":
             monkeypatch.setattr(frames, "answer", lambda rest: 1 / 0)
             await link.good("r1.0")
-            assert await link.frame() is None  # its connection goes
+            assert await link.frame() is None  # the root closes the connection
             monkeypatch.undo()
-        elif where == "list":
+        elif failure_point == "list":
             monkeypatch.setattr(r.root.watch, "publish", lambda found: 1 / 0)
             await r.first.say(41, r.target(home))
-            again = await r.watch()  # another watch
+            again = await r.watch()  # the root opens a new watch
             monkeypatch.undo()
             await again.say(41, r.target(home))
             await until(lambda: r.root.watch.endpoints.version == 41)
-        elif where == "action":
-            r.root.core.handlers[i.Log] = lambda action: 1 / 0
+        elif failure_point == "action":
+            r.root.core.handlers[interface.Log] = lambda action: 1 / 0
             turn = r.root.core.balancer.turn
-            turn.timers.schedule(0, turn.emit, i.Log("planted"))
-            r.root.core.post(i.TimerFired(0))
+            turn.timers.schedule(0, turn.emit, interface.Log("injected"))
+            r.root.core.post(interface.TimerFired(0))
         else:
             monkeypatch.setattr(r.root.pool, "place", lambda leaf, attempts: 1 / 0)
-            lost = r.client()
-            lost.now(request("r2", "read", (0,)))
+            unserved = r.client()
+            unserved.now(request("r2", "read", (0,)))
             await until(lambda: r.log.lines[-1][0].startswith("unexpected error"))
             monkeypatch.undo()
-            lost.leave()
+            unserved.leave()
         await until(lambda: any(event.startswith("unexpected error") for event, _ in r.log.lines))
 
         async def serve(link):
@@ -110,17 +110,17 @@
 
         for leaf in r.leaves:
             r.nursery.start_soon(accept, leaf)
-        if where != "answer":
+        if failure_point != "answer":
             await link.good("r1.0", after_s=0.3)
             r.nursery.start_soon(serve, link)
-        assert (await client.answer())[0] == 200  # where its connection went, from another leaf
-        after = r.client()
-        after.now(request("r3", "hold", (0,), key="k3", timeout_ms=6000))
-        assert (await after.answer())[0] == 200
+        assert (await client.answer())[0] == 200  # from another leaf if its connection was closed
+        later_client = r.client()
+        later_client.now(request("r3", "hold", (0,), key="k3", timeout_ms=6000))
+        assert (await later_client.answer())[0] == 200
 
 
 @real
-async def test_an_error_while_a_request_is_read_is_answered():
+async def test_error_while_a_request_is_read_is_answered_with_500():
     async with rig() as r:
         client = r.client()
         r.root.frontend.handler.submit = lambda *args: 1 / 0
@@ -128,12 +128,14 @@
         assert (await client.answer())[0] == 500
 
 
-DEEP = b'{"ranges":[],"predicate":"t","x":' + b"[" * 30_000 + b"]" * 30_000 + b"}"
+DEEPLY_NESTED_BODY = b'{"ranges":[],"predicate":"t","x":' + b"[" * 30_000 + b"]" * 30_000 + b"}"
 
 
 @real
-async def test_a_body_nested_too_deep_behind_another_request_costs_its_connection_and_no_root():
-    """It is read in the core's turn that answers the first one: an error there was the root's end."""
+async def test_too_deeply_nested_body_of_a_pipelined_request_does_not_stop_the_root():
+    """The second request is parsed in the turn that answers the first: an error in that turn used to
+    stop the root.
+    """
     async with rig() as r:
         other, client, home = r.client(), r.client(), r.home(0)
         other.now(request("r1", "read", (0,)))
@@ -141,7 +143,7 @@
         assert await link.call() == ["r1.0"]
         client.now(request("r2", "read", (0,)))
         assert await link.call() == ["r2.0"]
-        client.now(request("r3", "read", (0,), body=DEEP))
+        client.now(request("r3", "read", (0,), body=DEEPLY_NESTED_BODY))
         await trio.sleep(0.05)
         await link.good("r2.0")
         assert (await client.answer())[0] == 200 and (await client.answer())[0] == 400
@@ -151,7 +153,7 @@
 
 
 @real
-async def test_a_list_nested_too_deep_breaks_its_watch_and_no_root():
+async def test_too_deeply_nested_endpoint_list_breaks_only_its_watch():
     async with rig() as r:
         await r.first.raw(
             b'{"rev":50,"all":true,"targets":[],"x":' + b"[" * 30_000 + b"]" * 30_000 + b"}\n"
@@ -161,7 +163,7 @@
         await until(lambda: not r.root.pool.leaves["s0"].takes_new)
 
 
-def test_a_root_that_owes_an_answer_at_its_end_says_so():
+def test_root_that_stops_with_an_unanswered_query_logs_it():
     async def test():
         async with rig() as r:
             client = r.client()
--- a/tests/test_trace.py
+++ b/tests/test_trace.py
@@ -1,11 +1,11 @@
-"""The record of what a root does, that MOTHNOTCH_TRACE switches on."""
+"""The trace of what a root does, which MOTHNOTCH_TRACE enables."""
 
 import json
 
 from mothnotch.root.trace import PATH_VARIABLE, Trace
 
 
-def test_trace_appends_one_json_line_an_event(tmp_path, monkeypatch):
+def test_trace_appends_one_json_line_for_each_event(tmp_path, monkeypatch):
     path = tmp_path / "trace"
     path.write_text("earlier\n")
     monkeypatch.setenv(PATH_VARIABLE, str(path))
@@ -32,7 +32,7 @@
     assert not trace.enabled
 
 
-def test_a_line_that_cannot_be_written_ends_the_record():
+def test_trace_ends_when_a_line_cannot_be_written():
     trace = Trace("/dev/full")
     assert trace.enabled
     trace.record("attempt")
