--- a/mothnotch/decisions/balancer/__init__.py
+++ b/mothnotch/decisions/balancer/__init__.py
@@ -1,7 +1,7 @@
-"""Every decision of one root; its events and actions are in mothnotch/decisions/interface.py.
+"""All decisions of one root: where a part is sent, when it is retried, which queries are rejected.
 
-Where a part goes, when it is retried, what is rejected: `Balancer` hands each event to the module
-that decides it.
+`Balancer` passes each event to the module that decides on it. Events and actions are defined in
+mothnotch/decisions/interface.py.
 """
 
 from mothnotch.decisions.balancer.balancer import Balancer
--- a/mothnotch/decisions/balancer/admission.py
+++ b/mothnotch/decisions/balancer/admission.py
@@ -1,4 +1,7 @@
-"""Which queries and parts are taken on: late or low-value work is rejected under overload."""
+"""Admission control: rejects queries and leaves out parts that would come too late.
+
+Under overload, work of low value for its cost is rejected first.
+"""
 
 from mothnotch.decisions.balancer.answers import WEIGHT_TOLERANCE, Answers
 from mothnotch.decisions.balancer.placement import Placement
@@ -11,14 +14,14 @@
 from mothnotch.decisions.balancer.work_estimates import WorkEstimates
 from mothnotch.decisions.interface import Settings
 
-# The work of least value for its cost is rejected once it would take this share of its time; the
-# work of most value only once it would take all of it.
+# The work of least value for its cost is rejected if it is expected to take more than this share of
+# the time left to it; the work of most value only if it is expected to take more than all of it.
 LEAST_VALUE_TIME_SHARE = 0.25
-RANKED_QUERIES = 64  # the latest values, among which a query's is ranked
+RANKED_QUERIES = 64  # the value of a query is ranked among those of this many before it
 
 
 class Admission:
-    """Begins queries: rejects them, leaves out parts, or sends the parts on."""
+    """Decides whether a query is rejected, and which of its parts are sent."""
 
     def __init__(
         self,
@@ -31,7 +34,7 @@
         quotas: TenantQuotas,
         work_estimates: WorkEstimates,
     ):
-        """Make it from what it asks and what it hands parts to."""
+        """Initialize with no ranked values; the arguments are the collaborators."""
         self._turn = turn
         self._settings = settings
         self._placement = placement
@@ -43,9 +46,10 @@
         self._value_ranks = Ranks(RANKED_QUERIES)
 
     def admit(self, query: Query, parts: list[Part]) -> None:
-        """Reject a query that would come too late; send its new parts but those too late.
+        """Reject a query that would come too late; else send its new parts.
 
-        Parts too late are left out only where the others may make an answer.
+        Parts that would come too late are left out only if the query class accepts an answer
+        without them.
         """
         late = self._late_parts(query, parts) if query.is_open and query.step == 1 else []
         self._reject_if_needed(query, late)
@@ -54,20 +58,20 @@
         if query.step == 1:
             needed_weight = query_class.complete_weight - WEIGHT_TOLERANCE
         if needed_weight < 1 - 2 * WEIGHT_TOLERANCE:
-            # Work not needed is not asked for: the quickest parts are.
+            # Send only as many parts as a complete answer needs, those expected fastest first.
             latency_cache = {}
             parts = sorted(
                 parts, key=lambda part: self._placement.least_latency_us(part, latency_cache)
             )
         may_leave_out = query_class.min_answer_weight < query_class.complete_weight
-        asked_weight = 0.0
+        sent_weight = 0.0
         for part in parts:
             if part in late and may_leave_out:
                 self._answers.mark_lost(part)
-            elif asked_weight >= needed_weight:
-                query.spare_parts.append(part)  # stands in for one that fails or is stuck
+            elif sent_weight >= needed_weight:
+                query.spare_parts.append(part)  # replaces a part that fails or is stuck
             else:
-                asked_weight += part.weight
+                sent_weight += part.weight
                 self._sender.dispatch(part)
 
     def _reject_if_needed(self, query, late):
@@ -81,10 +85,10 @@
             self._answers.reject_or_fail(query, "would come too late for its worth")
 
     def _late_parts(self, query, parts):
-        """The parts that would come too late: more of them the less value for its cost work has.
+        """Return the parts that would come too late; the less value for its cost, the stricter.
 
-        Guards against overload and dead shards. Harm: with stale latencies it leaves out work that
-        would have been in time.
+        This protects against overload and dead shards. Drawback: stale latencies leave out work
+        that would have been in time.
         """
         now_us = self._turn.now_us
         query_class = query.query_class
@@ -97,7 +101,7 @@
         value = query_class.priority_weight / (needed_parts * part_cost_us)
         if not self._quotas.take(query.tenant, now_us):
             value *= self._settings.over_quota_weight
-        # Asked again, and too late for its full worth.
+        # A retry by the client, too late to earn the full value.
         is_late = query.objective_at_us <= now_us
         value *= query_class.late_weight if is_late else 1.0
         left_us = (query.give_up_at_us if is_late else query.objective_at_us) - now_us
--- a/mothnotch/decisions/balancer/answers.py
+++ b/mothnotch/decisions/balancer/answers.py
@@ -1,4 +1,4 @@
-"""When a query is answered, when it is given up, and what is cancelled then."""
+"""When a query gets its final answer, and which attempts are cancelled with it."""
 
 from mothnotch.decisions.balancer.records import OpenQueries, Part, Query
 from mothnotch.decisions.balancer.turn import Turn
@@ -12,36 +12,37 @@
     Settings,
 )
 
-REJECT_RETRY_AFTER_US = 300_000  # advice to a rejected client, before it asks again
-WEIGHT_TOLERANCE = 1e-4  # sums of weights may fall short by rounding
+REJECT_RETRY_AFTER_US = 300_000  # advice to the client of a rejected query
+WEIGHT_TOLERANCE = 1e-4  # allows for rounding errors in sums of weights
 
 
 class Answers:
-    """Gives each query its one final answer."""
+    """Gives each query exactly one final answer: `Answer`, `Reject` or `Fail`."""
 
     def __init__(self, turn: Turn, settings: Settings, queries: OpenQueries):
-        """Make it for these open queries."""
+        """Initialize for these open queries."""
         self._turn = turn
         self._settings = settings
         self._queries = queries
 
     def on_client_disconnected(self, event: ClientDisconnected) -> None:
-        """Let go of a query that nobody waits for any more."""
+        """Drop a query whose client has disconnected."""
         query = self._queries.by_id.get(event.query)
         if query is not None:
             self._close(query)
 
     def resolve(self, query: Query) -> None:
-        """Answer the query or give it up, if it is time for either.
+        """Give the query its final answer if it is due.
 
-        It is answered once the parts in make a complete answer or, from the latency objective on or
-        if no more can come, one that may be given: it is worth more then than a complete one later.
+        A query is answered as soon as its answered parts make a complete answer. From the latency
+        objective on, or when no more parts can come, it is answered with any weight that its class
+        accepts: at that point a partial answer is worth more than a complete one later.
         """
         if not query.is_open:
             return
         query_class = query.query_class
         now_us = self._turn.now_us
-        # A second step without parts is not over: they are still to come.
+        # A second step that has no parts yet has not ended: they are still to arrive.
         all_parts_ended = query.parts and all(
             part.is_answered or part.is_lost for part in query.parts
         )
@@ -62,16 +63,13 @@
             self.reject_or_fail(query, "too many parts are lost")
 
     def mark_lost(self, part: Part) -> None:
-        """Count a part as lost, which may end its query."""
+        """Mark the part as lost: no answer to it is expected. This may end its query."""
         part.is_lost = True
         part.query.lost_weight += part.weight
         self.resolve(part.query)
 
     def reject_or_fail(self, query: Query, reason: str) -> None:
-        """Give the final answer of a query that is given up, at once.
-
-        It is rejected only where asking again is harmless, and else failed.
-        """
+        """End the query unanswered: reject it if the client may safely retry, else fail it."""
         is_idempotent = query.query_class.idempotency is Idempotency.IDEMPOTENT
         if is_idempotent or not any(part.may_have_run_us for part in query.parts):
             retry_after_us = self._settings.limits.max_retry_after_us
@@ -83,7 +81,7 @@
         self._close(query)
 
     def cancel(self, part: Part) -> None:
-        """Cancel the part's attempts in flight, where attempts can be cancelled."""
+        """Cancel the part's attempts in flight, if the deployment allows it."""
         if self._settings.limits.cancel:
             for number in part.in_flight:
                 self._turn.emit(Cancel(part.id, number))
@@ -101,7 +99,7 @@
         query.is_open = False
         self._queries.remove(query)
         parts = query.parts
-        # No cycle is left for the garbage collector, whose pauses would hold up all other queries.
+        # Break the reference cycles: the pauses of the garbage collector delay all other queries.
         query.parts = []
         query.spare_parts = []
         for part in parts:
--- a/mothnotch/decisions/balancer/arrivals.py
+++ b/mothnotch/decisions/balancer/arrivals.py
@@ -1,4 +1,4 @@
-"""Queries and parts as they arrive: what is recorded of them until all of a turn are in."""
+"""Registers queries and parts as they arrive, and starts them at the end of the turn."""
 
 from mothnotch.decisions.balancer.admission import Admission
 from mothnotch.decisions.balancer.answers import Answers
@@ -11,7 +11,7 @@
 
 
 class Arrivals:
-    """Takes queries and parts in, and begins them at the end of the turn."""
+    """Registers arriving queries and parts; hands them to admission at the end of the turn."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         admission: Admission,
         answers: Answers,
     ):
-        """Make it from what it informs."""
+        """Initialize with no new parts; the arguments are the collaborators."""
         self._turn = turn
         self._settings = settings
         self._queries = queries
@@ -33,14 +33,14 @@
         self._retry_limits = retry_limits
         self._admission = admission
         self._answers = answers
-        self._new_parts = {}  # query -> its parts that came in this turn
+        self._new_parts = {}  # query -> its parts that arrived in this turn
 
     def begin_turn(self) -> None:
-        """Forget parts of a turn that ended in an error: their queries were ended by the caller."""
+        """Drop the parts of a turn that raised an error: the caller has ended their queries."""
         self._new_parts = {}
 
     def on_query_arrived(self, event: QueryArrived) -> None:
-        """Take a query in; its parts follow."""
+        """Register a query; its parts follow."""
         query = Query(event, self._settings.classes[event.class_name])
         self._queries.add(query)
         self._retry_limits.record_query(self._turn.now_us)
@@ -50,7 +50,7 @@
         timers.schedule(query.give_up_at_us, self._answers.resolve, query)
 
     def on_part_arrived(self, event: PartArrived) -> None:
-        """Take a part in, unless its query has had its final answer."""
+        """Register a part, unless its query already has its final answer."""
         query = self._queries.by_number.get(event.query_number)
         if query is None:
             return
@@ -61,6 +61,6 @@
         self._new_parts.setdefault(query, []).append(part)
 
     def begin_queries(self) -> None:
-        """Begin what came in this turn: after all events, so that sends share calls."""
+        """Admit the parts of this turn: after all its events, so that sends can share calls."""
         for query, parts in self._new_parts.items():
             self._admission.admit(query, parts)
--- a/mothnotch/decisions/balancer/attempt_results.py
+++ b/mothnotch/decisions/balancer/attempt_results.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of its server and its key, and what becomes of its part."""
+"""Handles the end of an attempt: updates what is known of its server and decides on its part."""
 
 from mothnotch.decisions.balancer.answers import Answers
 from mothnotch.decisions.balancer.placement import Placement
@@ -12,7 +12,7 @@
 
 
 class AttemptResults:
-    """Takes in the end of each attempt."""
+    """Handles the end of each attempt."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         retries: Retries,
         quarantine: KeyQuarantine,
     ):
-        """Make it from what it informs."""
+        """Initialize with the collaborators."""
         self._turn = turn
         self._placement = placement
         self._predictor = predictor
@@ -34,7 +34,7 @@
         self._quarantine = quarantine
 
     def on_attempt_ended(self, event: AttemptEnded) -> None:
-        """Learn from the end of an attempt; then answer, hold, retry or lose its part."""
+        """Record the result; then complete the attempt's part, hold it, retry it or lose it."""
         attempt = self._sender.take_attempt(event.part, event.attempt)
         if attempt is None:
             return
@@ -42,7 +42,7 @@
         query = part.query
         result = event.result
         attempt.close(result, self._turn.now_us)
-        # A connection that broke after it was idle says little of the server.
+        # A reset of a connection that had been idle says little about the server.
         was_idle_reset = result is Result.BROKEN and attempt.idle_us >= IDLE_US // 2
         server_died = result is Result.BROKEN and not was_idle_reset
         if result is Result.UNREACHABLE and part.reconnect_to is attempt.server:
@@ -64,7 +64,8 @@
             self._retry(part, result, was_idle_reset)
 
     def _record_idle_outcome(self, attempt, result, latency_us):
-        # A reset is noticed at once; silence costs the latency objective.
+        # Only a connection lost in silence counts: it costs the part the latency objective, whereas
+        # a reset is noticed at once.
         if attempt.idle_us < IDLE_US:
             return
         is_lost = result is Result.TIMEOUT
@@ -79,7 +80,9 @@
 
     def _record_death(self, key, server):
         if self._quarantine.record_death(key, server.id, self._turn.now_us):
-            self._turn.emit(Log(f"key {key} distrusted: {DEATHS_MIN} servers died under it"))
+            self._turn.emit(
+                Log(f"key {key} quarantined: {DEATHS_MIN} servers died while handling its queries")
+            )
 
     def _complete(self, attempt: Attempt):
         part = attempt.part
@@ -94,8 +97,8 @@
         self._retries.release_held(query)
 
     def _retry(self, part: Part, result: Result, was_idle_reset: bool):
-        # An attempt that reached no server made no work for any: the next holder is tried without a
-        # token.
+        # An attempt that reached no server caused no work: the next replica is tried without
+        # charging a token.
         if result is Result.UNREACHABLE and self._placement.has_untried_replica(part):
             part.retry_is_charged = True
         self._retries.retry(part, is_free=was_idle_reset)
--- a/mothnotch/decisions/balancer/balancer.py
+++ b/mothnotch/decisions/balancer/balancer.py
@@ -1,8 +1,8 @@
-"""One root's decisions: hands each event to the part that decides, and collects the actions.
+"""Dispatches each event to the component that decides on it, and collects the actions.
 
-The ordinary path is HEIMDALL's (EuroSys '25, docs/design.md): a part goes to its hashed home unless
-a learned verdict calls it slow and another holder not. All else guards that path, and says against
-what.
+The normal path follows HEIMDALL (EuroSys '25, docs/design.md): a part goes to its home, the first
+replica in hash order, unless a learned predictor expects the home to be slow and another replica
+not. Everything else protects this path; comments state against which failures.
 """
 
 import random
@@ -39,10 +39,10 @@
 
 
 class Balancer:
-    """One root's decisions; each part of them owns its state."""
+    """The decisions of one root; each component owns its own state."""
 
     def __init__(self, settings: Settings, seed):
-        """Make it for these settings; all that it draws comes from the seed."""
+        """Initialize for these settings; all random draws derive from the seed."""
         self.settings = settings
         self.longest_objective_us = max(
             query_class.latency_objective_us for query_class in settings.classes.values()
@@ -103,14 +103,14 @@
 
     @property
     def actions(self) -> list:
-        """The actions of the present turn so far; an error in it leaves those decided before."""
+        """The actions of the current turn so far; after an error, those decided before it."""
         return self.turn.actions
 
     def handle(self, now_us: int, events: Iterable) -> list:
         """Return the actions to take after these events, in order.
 
-        It takes one event at a time out of `events`, so that after an error the caller sees which
-        one it was.
+        Events are consumed from `events` one at a time, so that after an error the caller can tell
+        which event caused it.
         """
         turn = self.turn
         turn.begin(now_us)
--- a/mothnotch/decisions/balancer/busy_periods.py
+++ b/mothnotch/decisions/balancer/busy_periods.py
@@ -1,6 +1,6 @@
-"""Labels of answers by busy period: which of a server's answers met one, in hindsight.
+"""Labels a server's answers in hindsight: which of them met a busy period.
 
-The periods and the three filters of noise are the paper's (docs/design.md).
+The definition of busy periods and the three noise filters are those of HEIMDALL (docs/design.md).
 """
 
 import math
@@ -9,25 +9,28 @@
 
 from mothnotch.decisions.balancer.statistics import RunningMeans
 
-BUSY_LATENCY_MULTIPLE = 1.6  # of the median: over it, with low throughput, a busy period starts
-BUSY_THROUGHPUT_MULTIPLE = 0.6  # of the median: under it
-NOISE_ANSWERS = 3  # busy runs up to this long are noise
-RUN_ANSWERS_MAX = 50  # of a busy period that are remembered: an eighth of the predictor's samples
+# A busy period starts when the latency is above this multiple of its baseline ...
+BUSY_LATENCY_MULTIPLE = 1.6
+# ... and the throughput is below this multiple of its own baseline.
+BUSY_THROUGHPUT_MULTIPLE = 0.6
+
+NOISE_ANSWERS = 3  # busy runs of up to this many answers are noise
+RUN_ANSWERS_MAX = 50  # answers remembered of a busy period: an eighth of the predictor's samples
 
 
 class BusyPeriodLabeler(RunningMeans):
-    """The running means of one server, by which its answers are labelled."""
+    """Running means of one server, with the labels of its answers derived from them."""
 
     def __init__(self):
-        """Make it with nothing seen, and no busy period under way."""
+        """Initialize without answers and outside a busy period."""
         super().__init__()
-        self._busy_run = None  # answers of the busy period under way
+        self._busy_run = None  # answers of the current busy period; None outside one
 
     def label(self, attempt, fleet: RunningMeans) -> list:
-        """Take in an attempt that has ended; return what is labelled now.
+        """Add an attempt that has ended; return the attempts that are labelled now.
 
-        That is [(attempt, 1 if it met a busy period else 0)]. The calm level is the better of the
-        server's and the fleet's medians: a server slow from the start has a slow median of its own.
+        They are [(attempt, 1 if it met a busy period else 0)]. The baseline is the better of the
+        server's and the fleet's medians, as a server that is slow from the start has a slow median.
         """
         baseline_latency_us = min(self.median_latency_us or math.inf, fleet.median_latency_us)
         baseline_throughput = max(self.median_throughput or 0, fleet.median_throughput)
@@ -38,13 +41,13 @@
         if is_slow and is_low_throughput:
             self._busy_run = deque([attempt], maxlen=RUN_ANSWERS_MAX)
         if is_slow or is_low_throughput:
-            return []  # a lone slow answer is dropped
+            return []  # a single slow answer gets no label
         return [(attempt, 0)]
 
     def _continue_run(self, attempt, baseline_throughput):
         run = self._busy_run
         if attempt.throughput >= baseline_throughput:
-            self._busy_run = None  # a run that was too short ends unlabelled
+            self._busy_run = None  # answers of a run that was too short stay unlabelled
             return [(attempt, 0)]
         run.append(attempt)
         if len(run) <= NOISE_ANSWERS:
--- a/mothnotch/decisions/balancer/discovery.py
+++ b/mothnotch/decisions/balancer/discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list as this root holds it, and when discovery is asked again."""
+"""The servers as known from the endpoint list, and the backoff of requests to discovery."""
 
 import math
 
@@ -14,21 +14,21 @@
     WatchEventKind,
 )
 
-# First and longest backoff before discovery is asked again: it may be struggling.
+# Shortest and longest backoff before the next request to discovery, which may be overloaded.
 BACKOFF_MIN_US = 500_000
 BACKOFF_MAX_US = 8_000_000
 
-# Servers no longer listed that are remembered, as they may come back; names may be ever new, so
-# that without a bound the memory would grow.
+# Servers that are no longer listed are remembered, as they may come back. If server names are never
+# reused, memory would grow without this bound.
 UNLISTED_SERVERS = 64
 
 
 class Discovery:
-    """Owns the servers: which there are, what each is known for, and which cell they serve."""
+    """Owns the known servers and the mapping from cells to the servers that are up."""
 
     def __init__(self, turn: Turn, settings: Settings, rng, fleet: FleetMeans):
-        """Make it without a server."""
-        self.servers = {}  # id -> Server; in the order in which they were first listed
+        """Initialize without servers."""
+        self.servers = {}  # id -> Server, in the order in which they were first listed
         self._turn = turn
         self._settings = settings
         self._rng = rng
@@ -38,7 +38,7 @@
         self._backoff_us = 0
 
     def on_watch_event(self, event: WatchEvent) -> None:
-        """Take in what discovery says, or ask it again if the call or subscription failed."""
+        """Apply an update of the endpoint list; after a failure, subscribe again with a backoff."""
         if event.kind is WatchEventKind.FAILED:
             self._subscribe_later()
             return
@@ -47,7 +47,9 @@
             self._turn.emit(Subscribe())
         for endpoint in event.entries:
             self._update(endpoint)
-        if event.kind is not WatchEventKind.DELTA:  # a whole list: what it doesn't name has gone
+        if (
+            event.kind is not WatchEventKind.DELTA
+        ):  # a whole list: a server not in it has been removed
             listed = {endpoint.server for endpoint in event.entries}
             for server in self.servers.values():
                 server.up = server.up and server.id in listed
@@ -58,7 +60,7 @@
                 self._servers_by_cell.setdefault(server.cell, []).append(server)
 
     def replicas(self, shard: int) -> list[Server]:
-        """Return the servers that hold the shard, in no order that means anything."""
+        """Return the servers that hold the shard, in no significant order."""
         cell_count = self._settings.cell_count
         cells_per_shard = min(self._settings.cells_per_shard, cell_count)
         return [
@@ -68,8 +70,8 @@
         ]
 
     def _subscribe_later(self):
-        # Guards against roots that ask a struggling discovery service in step: each asks ever
-        # later, and at a drawn time.
+        # Exponential backoff with jitter: without it all roots would call an overloaded discovery
+        # service at the same time.
         self._backoff_us = min(BACKOFF_MAX_US, max(BACKOFF_MIN_US, 2 * self._backoff_us))
         delay_us = self._backoff_us * self._rng.uniform(0.5, 1)
         self._turn.call_later(delay_us, self._turn.emit, Subscribe())
--- a/mothnotch/decisions/balancer/placement.py
+++ b/mothnotch/decisions/balancer/placement.py
@@ -1,4 +1,7 @@
-"""Where a part goes: its hashed home, or another holder if the home is an outlier."""
+"""Chooses the server for a part: its home, or another replica if the home should be avoided.
+
+The home of a part is the first replica of its shard in the order of a weighted rendezvous hash.
+"""
 
 import math
 from collections.abc import Iterable
@@ -11,11 +14,11 @@
 from mothnotch.decisions.balancer.turn import Turn
 from mothnotch.decisions.interface import Idempotency, QueryClass, Settings
 
-MAX_PREDICTIONS_PER_QUERY = 32  # one for each server of a wide query
-BUSY_PROBABILITY = 0.5  # above it a server is taken to be in a busy period
+MAX_PREDICTIONS_PER_QUERY = 32  # enough for each server of a wide query
+BUSY_PROBABILITY = 0.5  # above it a server counts as busy
 
-# A server silent for so many latency objectives gets its next part unjudged: without a trial
-# nothing would ever be learned of its recovery.
+# A home that was neither heard from nor sent to for this many latency objectives gets its next part
+# as a trial, whatever its health: otherwise its recovery would never be noticed.
 TRIAL_AFTER_OBJECTIVES = 3
 
 
@@ -30,7 +33,7 @@
         predictor: BusyPeriodPredictor,
         longest_objective_us: int,
     ):
-        """Make it; `longest_objective_us` is the longest latency objective of any class."""
+        """Initialize; `longest_objective_us` is the longest latency objective of any class."""
         self._turn = turn
         self._settings = settings
         self._discovery = discovery
@@ -38,11 +41,11 @@
         self._trial_after_us = TRIAL_AFTER_OBJECTIVES * longest_objective_us
 
     def replicas(self, part: Part) -> list[Server]:
-        """Return the servers that hold the part's shard, in no order that means anything."""
+        """Return the servers that hold the part's shard, in no significant order."""
         return self._discovery.replicas(part.shard)
 
     def ready_replicas(self, part: Part) -> list[Server]:
-        """Return the holders with capacity for the part, in hash order: its home first."""
+        """Return the replicas with slow-start capacity for the part, in hash order."""
         weighted = [
             (server.weight if self._settings.has_endpoint_weights else 1.0, server.id, server)
             for server in self.replicas(part)
@@ -54,11 +57,11 @@
         ]
 
     def has_untried_replica(self, part: Part) -> bool:
-        """Return whether some holder of the part's shard has had no attempt of it."""
+        """Return whether any replica of the part's shard has had no attempt of it."""
         return any(server not in part.servers_tried for server in self.replicas(part))
 
     def choose_first(self, part: Part, ready: list[Server]) -> Server:
-        """Return the server for a part's first attempt, out of the ready holders in hash order."""
+        """Return the server for a part's first attempt; `ready` is in hash order."""
         home = ready[0]
         is_repeatable = part.query.query_class.idempotency is not Idempotency.NOT_IDEMPOTENT
         if self._is_due_for_trial(home, part.query.query_class) and is_repeatable:
@@ -71,7 +74,7 @@
         return others[0] if others else home
 
     def best_server(self, servers: Iterable[Server], query_class: QueryClass) -> Server | None:
-        """Return the server with the least expected latency, outliers last; None out of none."""
+        """Return the server with the least expected latency, outliers last; None if none."""
         now_us = self._turn.now_us
         return min(
             servers,
@@ -83,9 +86,9 @@
         )
 
     def least_latency_us(self, part: Part, latency_cache: dict[Server, float]) -> float:
-        """Return the least latency to expect for a part; infinity if nobody holds its shard.
+        """Return the least expected latency of a part; infinity if its shard has no replica.
 
-        `known` caches the latencies worked out for its query, by server.
+        `latency_cache` holds the expected latencies of its query by server, and is added to.
         """
         replicas = self.replicas(part)
         for server in replicas:
@@ -96,16 +99,19 @@
         return min((latency_cache[server] for server in replicas), default=math.inf)
 
     def _is_due_for_trial(self, server, query_class):
-        # One trial stands for all of a zone that fails: as many as it has servers would spend the
+        # In a failing zone one trial stands for all its servers: a trial of each would use up the
         # retry budget.
         zone_outcome_us = 0
         if server.failure_rate(self._turn.now_us, query_class) > OUTLIER_FAILURE_RATE:
             zone_outcome_us = server.zone_failures.last_outcome_us
-        last_us = max(server.last_heard_us, server.last_sent_us, zone_outcome_us)
-        return self._turn.now_us - last_us > self._trial_after_us
+        last_contact_us = max(server.last_heard_us, server.last_sent_us, zone_outcome_us)
+        return self._turn.now_us - last_contact_us > self._trial_after_us
 
     def _should_avoid(self, server, part):
-        """An outlier, or predicted to be busy: one prediction a query and server."""
+        """Return whether the server is an outlier or predicted to be busy.
+
+        It is predicted once for each query and server.
+        """
         busy_predictions = part.query.busy_predictions
         model = self._predictor.model
         if (
@@ -122,8 +128,8 @@
 def rendezvous_order(name: str, weighted: Iterable[tuple]) -> list:
     """Return the members of [(weight, id, member)] by weighted rendezvous hash, best first.
 
-    The hash is of the name with each id. It is the same everywhere: it depends on no process, seed
-    or order.
+    The hash of the name with each id is deterministic: it is the same at all roots and does not
+    depend on the process, a seed or the order of the members.
     """
     scored = []
     for weight, key, member in weighted:
--- a/mothnotch/decisions/balancer/predictor.py
+++ b/mothnotch/decisions/balancer/predictor.py
@@ -1,16 +1,17 @@
-"""The learned predictor of busy periods: would a part sent to a server now meet one?
+"""Learned predictor of busy periods: whether a part sent to a server now would meet one.
 
-It is HEIMDALL's (EuroSys '25, docs/design.md), with one logistic unit in place of its network.
+It follows HEIMDALL (EuroSys '25, docs/design.md), with logistic regression in place of its neural
+network.
 """
 
 import math
 from collections import deque
 from operator import mul
 
-HISTORY_LENGTH = 3  # answers in a server's history, as the paper found enough
+HISTORY_LENGTH = 3  # answers in a server's history; the paper found this enough
 
-# Only latency and parts in flight may speak for slow, and throughput for fast: a unit with free
-# signs learns the reverse from a day of odd answers.
+# Latency and parts in flight may only raise the predicted probability of a busy period, throughput
+# may only lower it. Without these bounds a few dozen unusual answers taught the model the opposite.
 NOT_NEGATIVE = (0.0, math.inf)
 NOT_POSITIVE = (-math.inf, 0.0)
 ANY_SIGN = (-math.inf, math.inf)
@@ -18,19 +19,19 @@
     [NOT_NEGATIVE] * 2 * HISTORY_LENGTH + [NOT_POSITIVE] * HISTORY_LENGTH + [ANY_SIGN] * 2
 )
 
-LEARNING_RATE = 0.3  # gradient step
-RELEARNING_PASSES = 12  # over all samples; one a turn
-SAMPLES = 400  # labelled answers remembered for a relearning
-ACCURACY_ANSWERS_MIN = 6  # of a server, for its accuracy to count
-ACCURACY_MIN = 0.8  # below it the unit is learned anew
-LOGIT_MAX = 30.0  # keeps exp() far from overflow
+LEARNING_RATE = 0.3
+RELEARNING_PASSES = 12  # passes over all samples, one per turn
+SAMPLES = 400  # labelled answers kept for relearning
+ACCURACY_ANSWERS_MIN = 6  # labelled answers that a server needs for its accuracy to count
+ACCURACY_MIN = 0.8  # a new model is learned below this accuracy
+LOGIT_MAX = 30.0  # keeps exp() from overflowing
 
 
 class LogisticModel:
-    """One logistic unit on min-max scaled inputs, scaled as the samples it is made for."""
+    """Online logistic regression; inputs are min-max scaled by its initial samples."""
 
     def __init__(self, samples, bounds, learning_rate: float):
-        """Make it for [(inputs, label)]; each weight stays within its bounds (lower, upper)."""
+        """Initialize for samples [(inputs, label)]; each weight stays within its (lower, upper)."""
         columns = list(zip(*(inputs for inputs, _ in samples), strict=True))
         self.bounds = bounds
         self.learning_rate = learning_rate
@@ -39,7 +40,7 @@
         self.samples = [(self._scaled(inputs), label) for inputs, label in samples]
 
     def train_pass(self, rng) -> None:
-        """Make one pass of gradient steps over the samples it was made for, in a drawn order."""
+        """Make one pass of gradient steps over the initial samples, in random order."""
         rng.shuffle(self.samples)
         for scaled, label in self.samples:
             self._gradient_step(scaled, label)
@@ -49,7 +50,7 @@
         return self._output(self._scaled(inputs))
 
     def train(self, inputs, label: int) -> None:
-        """Make one gradient step."""
+        """Make one gradient step on a new sample."""
         self._gradient_step(self._scaled(inputs), label)
 
     def _scaled(self, inputs):
@@ -78,35 +79,35 @@
 
 
 class BusyPeriodPredictor:
-    """Learns from labelled answers, and judges its own accuracy server by server."""
+    """Learns from labelled answers, and monitors its own accuracy server by server."""
 
     def __init__(self, rng):
-        """Make it without a unit: until the first relearning all servers count as fast."""
+        """Initialize without a model: until the first relearning all servers count as fast."""
         self.model = None
-        self.next_model = None  # the unit that is being learned
+        self.next_model = None  # the model that is being learned
         self.passes_left = 0
         self.samples = deque(maxlen=SAMPLES)  # (inputs, label)
-        self.accuracy_counts = {}  # server -> (predicted right, labelled) since the last check
+        self.accuracy_counts = {}  # server -> (correct, labelled) since the last check
         self._rng = rng
 
     def learn(self, attempt, label: int) -> None:
-        """Take in an answer; label 1 means that it met a busy period."""
+        """Add an answer; label 1 means that it met a busy period."""
         self.samples.append((attempt.inputs, label))
-        if attempt.to_home:  # which means that it was predicted to be fast
-            right, labelled = self.accuracy_counts.get(attempt.server.id, (0, 0))
-            self.accuracy_counts[attempt.server.id] = right + (not label), labelled + 1
+        if attempt.to_home:  # which normally means that it was predicted to be fast
+            correct, labelled = self.accuracy_counts.get(attempt.server.id, (0, 0))
+            self.accuracy_counts[attempt.server.id] = correct + (not label), labelled + 1
         if self.model:
             self.model.train(attempt.inputs, label)
 
     def check_accuracy(self) -> float:
-        """Return the accuracy at the worst server since the last check; begin to relearn if low.
+        """Return the accuracy at the worst server since the last check; if low, start relearning.
 
-        Over the whole fleet, one slow server of a dozen would never bring it under the bar.
+        Averaged over the fleet, one slow server in a dozen would never lower the accuracy enough.
         """
         worst = min(
             (
-                right / labelled
-                for right, labelled in self.accuracy_counts.values()
+                correct / labelled
+                for correct, labelled in self.accuracy_counts.values()
                 if labelled >= ACCURACY_ANSWERS_MIN
             ),
             default=1.0,
@@ -118,10 +119,10 @@
         return worst
 
     def relearn_pass(self) -> bool:
-        """Make one pass of a relearning; return whether there is more to do.
+        """Make one pass of a relearning; return whether there are more to make.
 
-        The new unit takes over with the last pass. All passes at once would hold up a root for
-        longer than a part.
+        The new model takes over after the last pass. All passes in one turn would block the root
+        for longer than a part takes.
         """
         self.next_model.train_pass(self._rng)
         self.passes_left -= 1
--- a/mothnotch/decisions/balancer/query_times.py
+++ b/mothnotch/decisions/balancer/query_times.py
@@ -1,24 +1,25 @@
-"""By when a query is to be answered, and when it is given up."""
+"""Derives the time by which a query should be answered, and the time at which it is given up."""
 
 from mothnotch.decisions.balancer.records import Query
 from mothnotch.decisions.balancer.statistics import MEDIAN_STEP
 from mothnotch.decisions.balancer.tenant_quotas import TenantQuotas
 from mothnotch.decisions.interface import QueryArrived, Settings
 
-SHORTENED_FRACTION = 0.95  # of the usual time left, under which a try was cut short: it is a retry
-LATE_WEIGHT_MIN = 0.2  # a class's weight of late answers above which they are worth their work
-DEADLINE_MARGIN_TICKS = 2  # an answer that is decided later would reach its client too late
-OBJECTIVE_MARGIN_TICKS = 3  # as much before the objective: the answer has its way to the client
+# A try with less than this fraction of the median time left was shortened: it is a retry.
+SHORTENED_FRACTION = 0.95
+LATE_WEIGHT_MIN = 0.2  # late answers are worth their work only above this `late_weight`
+DEADLINE_MARGIN_TICKS = 2  # an answer decided later would reach its client after the deadline
+OBJECTIVE_MARGIN_TICKS = 3  # allows for the time that the answer takes to reach its client
 
 
 class QueryTimes:
-    """Sets a query's times from its deadline and from when its client first asked."""
+    """Sets the times of a query from its deadline and the time of its client's first try."""
 
     def __init__(self, settings: Settings, quotas: TenantQuotas):
-        """Make it with nothing seen."""
+        """Initialize with no tries recorded."""
         self._settings = settings
         self._quotas = quotas
-        self._median_left_us = {}  # class name -> running median of the time that tries have
+        self._median_left_us = {}  # class name -> running median of the tries' time left
 
     def set(self, query: Query, event: QueryArrived, now_us: int) -> None:
         """Set the query's `objective_at_us` and `give_up_at_us`."""
@@ -34,12 +35,12 @@
         query.give_up_at_us = last_answer_us if late_answers_pay else query.objective_at_us
 
     def _first_try_us(self, query, event, now_us):
-        """When the client first asked.
+        """Return when the client first sent the query.
 
-        A try cut shorter than usual is a retry that ends with the client's whole time, which tells
-        when it first asked. Clients with little patience cut a first try, too: it counts as a first
-        one where retries are marked and it is not, and its tenant is within its quota, as clients
-        that ask again and again without saying so are over it.
+        A try with less time left than usual is a retry whose deadline is that of the first try,
+        which shows when that was sent. A client with a short timeout has little time left on its
+        first try, too. If clients mark their retries, an unmarked query therefore counts as a first
+        try while its tenant is within its quota: clients that retry without marking exceed it.
         """
         query_class = query.query_class
         left_us = event.deadline_us - now_us
--- a/mothnotch/decisions/balancer/records.py
+++ b/mothnotch/decisions/balancer/records.py
@@ -1,24 +1,24 @@
-"""Records of what a root has taken: queries, their parts, and the attempts at these."""
+"""Records of the open queries of a root, their parts and the attempts of these."""
 
 from mothnotch.decisions.interface import ANSWERED, NEVER_RAN, PartArrived, QueryArrived, QueryClass
 
 
 class Query:
-    """A query taken, and the parts of its present step."""
+    """An open query, and the parts of its current step."""
 
     def __init__(self, event: QueryArrived, query_class: QueryClass):
-        """Record the query; its times and parts are set by who takes it."""
+        """Initialize without times and parts, which the caller sets."""
         self.id = event.query
         self.number = event.query_number
         self.query_class = query_class
         self.key = event.affinity_key or event.query
         self.tenant = event.tenant
-        self.objective_at_us = None  # an answer by then earns its full worth
-        self.give_up_at_us = None  # no answer is wanted after that
+        self.objective_at_us = None  # an answer by then earns the full value
+        self.give_up_at_us = None  # no answer is given after that
         self.busy_predictions = {}  # server -> whether it is predicted to be in a busy period
         self.retries = 0  # attempts so far beyond the first of each part
-        self.parts = []  # all of this step
-        self.spare_parts = []  # those of them not needed yet
+        self.parts = []  # all parts of the current step
+        self.spare_parts = []  # those that are not needed so far, and not sent
         self.answered_weight = 0.0
         self.lost_weight = 0.0
         self.step = 1
@@ -26,7 +26,7 @@
         self.is_open = True
 
     def begin_second_step(self, first_step_complete: bool) -> list["Part"]:
-        """Begin the second step; return the parts of the first, of which no more is wanted."""
+        """Begin the second step; return the parts of the first, whose attempts are obsolete."""
         parts = self.parts
         self.parts = []
         self.spare_parts = []
@@ -43,7 +43,7 @@
     """One shard's share of a query."""
 
     def __init__(self, event: PartArrived, query: Query, cost_us: float):
-        """Record a part that is not sent yet."""
+        """Initialize a part that has not been sent."""
         self.id = event.part
         self.shard = event.shard
         self.weight = event.weight
@@ -51,21 +51,21 @@
         self.cost_us = cost_us
         self.servers_tried = []  # one for each attempt
         self.in_flight = {}  # attempts by number
-        self.reconnect_to = None  # server whose idle connection broke under it
+        self.reconnect_to = None  # server that reset an idle connection on which the part was sent
         self.retry_is_charged = False  # its next attempt has been charged to the retry budget
-        self.is_held = False  # waits until it is known whether its query's key is quarantined
+        self.is_held = False  # its server died; waits until the key of its query is cleared
         self.may_have_run_us = []  # send times of the attempts that may have run
         self.is_answered = False
         self.is_lost = False
 
 
 class Attempt:
-    """One send of a part, with what was known of the server then."""
+    """One send of a part, with the state of the server at that time."""
 
     def __init__(self, part: Part, server, now_us: int, to_home: bool):
-        """Record the attempt as in flight with its part and its server.
+        """Initialize the attempt and register it as in flight with its part and its server.
 
-        `admitted`: it goes to its home, as this was not taken for an outlier.
+        `to_home`: the server was chosen as the part's home, not as a fallback or for a retry.
         """
         self.part = part
         self.server = server
@@ -76,9 +76,9 @@
         self.cost_us = part.cost_us
         self.in_flight_before = len(server.in_flight)
         self.inputs = server.predictor_inputs(now_us, part.cost_us)
-        self.latency_us = None  # known once it has ended
+        self.latency_us = None  # set when the attempt ends, as is the throughput
         self.throughput = None
-        self.timeout_us = 0  # how long it may be in flight before it is reviewed
+        self.timeout_us = 0  # time in flight after which it may be stuck
         self.has_substitute = False  # a spare part was sent in its place
         part.servers_tried.append(server)
         part.may_have_run_us.append(now_us)
@@ -86,7 +86,7 @@
         server.in_flight[part.id, self.number] = self
 
     def close(self, result, now_us: int) -> None:
-        """Take it out of flight; note what its end says of its having run and of its server."""
+        """Remove it from flight; update whether it may have run and when its server answered."""
         server = self.server
         del server.in_flight[self.part.id, self.number]
         self.part.in_flight.pop(self.number, None)
@@ -98,19 +98,19 @@
 
 
 class OpenQueries:
-    """The queries that have no final answer yet, by id and by the number that parts name."""
+    """The queries without a final answer, by id and by number."""
 
     def __init__(self):
-        """Make it empty; who takes queries bounds it."""
+        """Initialize empty; the caller bounds the number of open queries."""
         self.by_id = {}
         self.by_number = {}
 
     def add(self, query: Query) -> None:
-        """Take a query in."""
+        """Add a query."""
         self.by_id[query.id] = query
         self.by_number[query.number] = query
 
     def remove(self, query: Query) -> None:
-        """Let go of a query that has its final answer."""
+        """Remove a query that has its final answer."""
         del self.by_id[query.id]
         del self.by_number[query.number]
--- a/mothnotch/decisions/balancer/retries.py
+++ b/mothnotch/decisions/balancer/retries.py
@@ -1,4 +1,4 @@
-"""What becomes of a part whose attempt failed: a retry, a spare part in its place, or its loss."""
+"""Handles parts whose attempt failed: retries them, sends spare parts instead or loses them."""
 
 from mothnotch.decisions.balancer.answers import Answers
 from mothnotch.decisions.balancer.placement import Placement
@@ -21,7 +21,7 @@
         retry_limits: RetryLimits,
         quarantine: KeyQuarantine,
     ):
-        """Make it from what it asks and what it hands parts to."""
+        """Initialize with the collaborators."""
         self._turn = turn
         self._placement = placement
         self._answers = answers
@@ -30,14 +30,15 @@
         self._quarantine = quarantine
 
     def retry(self, part: Part, is_free: bool = False) -> None:
-        """Retry the part, or put a spare part in its place, or lose it.
+        """Retry the part, send a spare part instead, or mark the part as lost.
 
-        What is left of the tokens goes to the queries that need few retries to be complete.
+        `is_free`: the retry needs no token. A query needs more remaining tokens with each of its
+        retries, so that scarce tokens go to queries that need few retries to be complete.
         """
         query = part.query
         now_us = self._turn.now_us
         if query.spare_parts:
-            # Taken first: the loss may end the query, which drops its spare parts.
+            # Take it before marking the loss, which may end the query and drop its spare parts.
             spare_part = query.spare_parts.pop(0)
             self._answers.mark_lost(part)
             self._sender.dispatch(spare_part)
@@ -54,11 +55,11 @@
             self._answers.mark_lost(part)
 
     def release_held(self, query: Query) -> None:
-        """Retry the held parts once the query's key is known to be harmless, or lose them.
+        """Retry the held parts of a query once it is safe to do so, or mark them as lost.
 
-        Guards against queries that bring down the servers that begin them: a part whose server died
-        waits until another part of its query has been answered, which clears the key, or none is in
-        flight any more.
+        This protects servers against queries that crash them: a part whose server died is held
+        until another part of its query has been answered, which clears the key, or until no other
+        part is in flight. If the key is quarantined by then, the held parts are lost.
         """
         is_quarantined = self._quarantine.contains(query.key, self._turn.now_us)
         if not query.answered_weight and any(part.in_flight for part in query.parts):
--- a/mothnotch/decisions/balancer/retry_limits.py
+++ b/mothnotch/decisions/balancer/retry_limits.py
@@ -1,4 +1,4 @@
-"""Whether a part may have one more attempt: the rules' budget, or else the root's own tokens."""
+"""Limits retries by the budget that the rules state or, without one, by the root's own tokens."""
 
 import math
 
@@ -7,31 +7,31 @@
 from mothnotch.decisions.sliding_window import SlidingWindow
 from mothnotch.decisions.token_bucket import TokenBucket
 
-# Tokens for retries where no budget is stated: so many for each part taken, so many at once.
-# Without them retries would be a storm when all servers are slow.
+# Retry tokens where the rules state no budget: earned for each part, and held at most. Without them
+# retries would cause a storm when all servers are slow.
 TOKENS_PER_PART = 0.2
 TOKENS_BURST = 20
 
-# Share of a burst that hedged requests leave to retries: a lost part loses its query. Where
-# attempts are moved, not copied, one token is left.
+# Share of a burst that hedged requests leave to retries, as a lost part may lose its query. Where
+# attempts are moved instead of hedged, one token is left.
 HEDGE_RESERVE = 0.4
 MOVE_RESERVE_TOKENS = 1
 
-ROUNDING = 1e-4  # sums of tokens may fall short or over by rounding
+ROUNDING = 1e-4  # allows for rounding errors in sums of tokens
 
 
 class RetryLimits:
-    """Counts what was taken and what was retried."""
+    """Counts the queries and parts admitted and the retries sent, and limits the retries."""
 
     def __init__(self, settings: Settings):
-        """Make it with nothing taken."""
+        """Initialize with nothing counted."""
         self.rules = settings.rules
         self._limits = settings.limits
         self._tick_us = settings.tick_us
         window_us = self.rules.retry_budget_window_us or 0
         self._admitted = SlidingWindow(window_us)
-        # Guards against the edges of the budget's window: what was retried counts a little longer
-        # than what was taken.
+        # Retries count for slightly longer than the queries and parts that they are measured
+        # against, so that the budget also holds at the edges of its window.
         self._retries = SlidingWindow(window_us + 2 * settings.tick_us)
         self.burst = self.rules.retry_budget_minimum if self.has_budget else TOKENS_BURST
         self.bucket = TokenBucket(self.burst)
@@ -42,33 +42,33 @@
         return self.rules.retry_budget_ratio is not None
 
     def record_query(self, now_us: int) -> None:
-        """Count a query taken."""
+        """Count a query admitted."""
         self._admitted.add(now_us)
 
     def record_part(self, now_us: int) -> None:
-        """Count a part taken."""
+        """Count a part admitted, which earns tokens."""
         self._admitted.add(now_us)
         self.bucket.add(TOKENS_PER_PART)
 
     def record_retry(self, now_us: int, tokens: float = 1) -> None:
-        """Count a retry; `tokens` is 0 if it has been charged before."""
+        """Count a retry; `tokens` is 0 if it was charged before."""
         self._retries.add(now_us)
         self.bucket.take(now_us, tokens)
 
     def remaining(self, now_us: int) -> float:
-        """Return how many retries are left: of the stated budget, or else tokens."""
+        """Return how many retries the stated budget allows now, or else the tokens left."""
         if not self.has_budget:
             return self.bucket.tokens
         allowed = self.rules.retries_allowed(self._admitted.total(now_us))
         return allowed - self._retries.total(now_us)
 
     def may_move(self, now_us: int) -> bool:
-        """Return whether a stuck attempt may be moved or hedged now: retries have a reserve."""
+        """Return whether a stuck attempt may be moved or hedged now, which leaves a reserve."""
         reserve = HEDGE_RESERVE * self.burst if self._limits.hedging else MOVE_RESERVE_TOKENS
         return self.remaining(now_us) >= 1 + reserve
 
     def may_retry(self, part: Part, now_us: int) -> bool:
-        """Return whether the rules let this part have one more attempt now."""
+        """Return whether the rules allow one more attempt of this part now."""
         max_attempts = self._limits.max_attempts
         if max_attempts is not None and len(part.servers_tried) >= max_attempts:
             return False
--- a/mothnotch/decisions/balancer/statistics.py
+++ b/mothnotch/decisions/balancer/statistics.py
@@ -1,30 +1,30 @@
-"""Running figures: means and medians of answers, shares, ranks, and sets that expire."""
+"""Running statistics: exponentially weighted means, medians, shares, ranks, expiring sets."""
 
 import math
 from collections import deque
 
-MEDIAN_STEP = 1.03  # small, so that calm values last through a busy period
+MEDIAN_STEP = 1.03  # small, so that the medians hardly move during a busy period
 
 
 class RunningMeans:
-    """Running means and medians of answers: latency, throughput, parts in flight before them."""
+    """Running means and medians of answers: latency, throughput, parts in flight at the send."""
 
     def __init__(self):
-        """Make it with nothing seen."""
+        """Initialize without answers."""
         self.latency_us = None
-        self.throughput = None  # microseconds of work done in one of latency
+        self.throughput = None  # cost over latency
         self.median_latency_us = None
         self.median_throughput = None
         self.in_flight = 0.0
 
     def typical_latency_us(self, cost_us: float) -> float:
-        """Return the time that such work mostly takes, at least that of the typical answer."""
+        """Return the typical latency of work of this cost, but at least the median latency."""
         if self.latency_us is None:
             return math.inf
         return max(self.median_latency_us, cost_us / self.median_throughput)
 
     def add(self, attempt, weight: float) -> None:
-        """Take in an attempt that has ended; `weight` is its weight in the means."""
+        """Add an attempt that has ended; `weight` is its weight in the means."""
         latency_us = attempt.latency_us
         throughput = attempt.throughput
         if self.latency_us is None:
@@ -38,54 +38,54 @@
 
 
 class FleetMeans(RunningMeans):
-    """The running means of all servers together, and how often one of them is heard of."""
+    """The running means of all servers together, and the mean gap between a server's outcomes."""
 
     def __init__(self):
-        """Make it with nothing seen."""
+        """Initialize without answers."""
         super().__init__()
         self.mean_gap_us = 0.0  # mean time between two outcomes of one server
         self.last_outcome_us = 0
 
 
 class RunningShare:
-    """The share of recent outcomes in which something occurred."""
+    """The share of recent outcomes in which an event occurred."""
 
     def __init__(self):
-        """Make it with a share of 0."""
+        """Initialize with a share of 0."""
         self.share = 0.0
         self.last_outcome_us = 0
 
     def add(self, occurred: bool, weight: float, now_us: int) -> None:
-        """Take in an outcome; `weight` is its weight in the share."""
+        """Add an outcome; `weight` is its weight in the share."""
         self.share += weight * (occurred - self.share)
         self.last_outcome_us = now_us
 
 
 class Ranks:
-    """Ranks each value among the last `size` before it."""
+    """Ranks each value among the `size` values before it."""
 
     def __init__(self, size: int):
-        """Make it with no value."""
+        """Initialize without values."""
         self._values = deque(maxlen=size)
 
     def rank(self, value: float) -> float:
-        """Return the share of the values before that are less, and remember this one."""
+        """Return the share of the previous values that are less than this one, then add it."""
         rank = sum(earlier < value for earlier in self._values) / max(1, len(self._values))
         self._values.append(value)
         return rank
 
 
 class ExpiringSets:
-    """Sets by key, at most `size`, each forgotten `span_us` after it was last added to."""
+    """At most `size` sets by key; each expires `span_us` after the last addition to it."""
 
     def __init__(self, size: int, span_us: int):
-        """Make it empty."""
+        """Initialize without sets."""
         self._size = size
         self._span_us = span_us
         self._sets = {}  # key -> (members, time of the last addition), oldest addition first
 
     def add(self, key, member, now_us: int) -> None:
-        """Add a member to the key's set; the set that was added to least lately may be dropped."""
+        """Add a member to the key's set; beyond `size`, drop the set with the oldest addition."""
         members = self._sets[key][0] if self.count(key, now_us) else set()
         self.drop(key)
         self._sets[key] = members | {member}, now_us
@@ -93,12 +93,12 @@
             del self._sets[next(iter(self._sets))]
 
     def count(self, key, now_us: int) -> int:
-        """Return how many members the key's set has."""
+        """Return the size of the key's set; 0 if it is unknown or has expired."""
         members, added_us = self._sets.get(key, ((), now_us))
         return len(members) if now_us - added_us < self._span_us else 0
 
     def drop(self, key) -> None:
-        """Forget the key's set."""
+        """Remove the key's set."""
         self._sets.pop(key, None)
 
 
--- a/mothnotch/decisions/balancer/stuck_attempts.py
+++ b/mothnotch/decisions/balancer/stuck_attempts.py
@@ -1,4 +1,4 @@
-"""Review of attempts in flight for long: a stuck one is moved, or hedged where that is allowed."""
+"""Reviews attempts after their timeout: a stuck one is hedged if allowed, else moved."""
 
 from mothnotch.decisions.balancer.placement import Placement
 from mothnotch.decisions.balancer.records import Attempt
@@ -10,7 +10,7 @@
 
 
 class StuckAttempts:
-    """Guards against attempts stuck at a silent server. A busy server keeps its parts."""
+    """Moves or hedges attempts at servers that do not respond; a busy server keeps its parts."""
 
     def __init__(
         self,
@@ -21,7 +21,7 @@
         retry_limits: RetryLimits,
         fleet: FleetMeans,
     ):
-        """Make it, and have the sender's attempts reviewed by it."""
+        """Initialize and register as the reviewer of the sender's attempts."""
         self._turn = turn
         self._settings = settings
         self._placement = placement
@@ -31,9 +31,10 @@
         sender.review = self.review
 
     def review(self, attempt: Attempt) -> None:
-        """Move or hedge the attempt if it is stuck and another server would be quicker.
+        """Move or hedge the attempt if it is stuck and another server is expected to be faster.
 
-        Tokens, shared with retries, guard against storms when all servers are slow.
+        Moving it means to cancel it and retry its part elsewhere. Moves and hedges share the tokens
+        of retries, which prevents a storm when all servers are slow.
         """
         part = attempt.part
         now_us = self._turn.now_us
@@ -55,11 +56,11 @@
             self._sender.send(part, best, to_home=False)
         elif self._settings.limits.cancel:
             self._turn.emit(Cancel(part.id, attempt.number))
-            self._retry_limits.record_retry(now_us)  # counts before the next is reviewed, too
+            self._retry_limits.record_retry(now_us)  # charged now, so that the next review sees it
             part.retry_is_charged = True
 
     def _better_server(self, attempt):
-        """The server that the part should go to instead, if there is one and a retry is allowed."""
+        """Return the server that the part should be sent to instead; None if it should wait."""
         part = attempt.part
         query_class = part.query.query_class
         now_us = self._turn.now_us
--- a/mothnotch/decisions/balancer/turn.py
+++ b/mothnotch/decisions/balancer/turn.py
@@ -1,4 +1,4 @@
-"""The present turn: its time, the actions decided in it, and the calls left for a later one."""
+"""The current turn, one call of `Balancer.handle`: its time, its actions, and the timers."""
 
 from collections.abc import Callable
 
@@ -6,23 +6,23 @@
 
 
 class Turn:
-    """What all parts of a balancer share of one turn."""
+    """State of the current turn that all components of a balancer share."""
 
     def __init__(self):
-        """Make it with no action and no timer."""
+        """Initialize without actions and timers."""
         self.now_us = 0
         self.actions = []
         self.timers = Timers()
 
     def begin(self, now_us: int) -> None:
-        """Begin a turn at this time; its actions are a new list."""
+        """Begin a turn at this time, with a new list of actions."""
         self.now_us = now_us
         self.actions = []
 
     def emit(self, action) -> None:
-        """Add an action; the caller carries them out in this order."""
+        """Add an action; the caller executes the actions in this order."""
         self.actions.append(action)
 
     def call_later(self, delay_us: float, call: Callable, *arguments) -> None:
-        """Make the call in the turn that comes so long after this one."""
+        """Schedule the call for the given delay after the current turn."""
         self.timers.schedule(self.now_us + delay_us, call, *arguments)
--- a/tests/test_path.py
+++ b/tests/test_path.py
@@ -84,7 +84,7 @@
     calm = serve(root, 10 * S)
     assert not of_type(i.Log, root.all_actions) and share(calm, "s1") > 0.15
     serve(root, 8 * S, slow=("s1",), slow_ms=110)  # slow, not so slow that health steps in
-    assert any("relearned" in log.text for log in of_type(i.Log, root.all_actions))
+    assert any("relearning" in log.text for log in of_type(i.Log, root.all_actions))
     busy = serve(root, 6 * S, slow=("s1",), slow_ms=110)
     assert share(busy, "s1") < share(calm, "s1") / 2  # declined but for trials
     serve(root, 15 * S)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -396,7 +396,9 @@
         root.now += 5 * MS
     said = break_all(root, query, 4)
     assert not of_type(i.Send, said) and of_type(i.Reject, said)[0].query == query
-    assert of_type(i.Log, said) == [i.Log("key bad distrusted: 2 servers died under it")]
+    assert of_type(i.Log, said) == [
+        i.Log("key bad quarantined: 2 servers died while handling its queries")
+    ]
     assert of_type(i.Reject, root.send_query(shards=(0, 1, 2, 3), key="bad")[1])
     assert not of_type(i.Reject, root.send_query(shards=(0, 1, 2, 3), key="other")[1])
     for part, n in list(root.in_flight):
