--- a/benchmarks/last_list.py
+++ b/benchmarks/last_list.py
@@ -15,7 +15,7 @@
 import lmdb
 
 from mothnotch.decisions.leaf_membership.catalogue_answers import CachedLeaf
-from mothnotch.store.endpoint_cache import EndpointCache, encode
+from mothnotch.store.endpoint_cache import EndpointCache, encode_leaves
 
 LEAVES = [
     CachedLeaf(f"node-{n}/leaf", f"10.0.0.{n}:5432", "z", n % 8, "up", 1.0, 1.8e9)
@@ -45,7 +45,7 @@
 
 
 def main():
-    body = encode(LEAVES)
+    body = encode_leaves(LEAVES)
     with tempfile.TemporaryDirectory() as folder:
         store, other = EndpointCache(f"{folder}/l.db", "x"), f"{folder}/l.lmdb"
         saves = {
--- a/mothnotch/consul/agent.py
+++ b/mothnotch/consul/agent.py
@@ -1,8 +1,8 @@
 """HTTP/1.1 client for a Consul agent, on top of h11 and the network interface.
 
-A client holds at most one connection. A body longer than `limit` ends the request and closes the
-connection; the caller limits the time. TLS is not supported yet; `wrap` is the extension point for
-it.
+A client holds at most one connection. A body longer than `max_body_bytes` ends the request and
+closes the connection; the caller limits the time. TLS is not supported yet; `wrap_stream` is the
+extension point for it.
 """
 
 from collections.abc import Awaitable, Callable, Sequence
@@ -15,14 +15,14 @@
 # Bytes of one read from the socket.
 READ_BYTES = 1 << 16
 # A larger body fails the request, so that a broken agent cannot exhaust the root's memory.
-MAX_ANSWER_BYTES = 8 << 20
+MAX_BODY_BYTES = 8 << 20
 
 
 class AgentError(Exception):
     """A request to an agent failed, or its response is not valid HTTP."""
 
 
-class Agent:
+class AgentClient:
     """Client of one Consul agent: one request at a time, on a connection that is kept open."""
 
     def __init__(
@@ -30,18 +30,18 @@
         network,
         address: str,
         headers: Sequence[tuple[str, str]] = (),
-        limit: int = MAX_ANSWER_BYTES,
-        wrap: Callable[[trio.abc.Stream], Awaitable[trio.abc.Stream]] | None = None,
+        max_body_bytes: int = MAX_BODY_BYTES,
+        wrap_stream: Callable[[trio.abc.Stream], Awaitable[trio.abc.Stream]] | None = None,
     ):
         """Use the agent at `address`, with `headers` on each request.
 
-        `limit` is the maximum number of bytes in a body; `wrap` turns a newly connected stream into
-        the one to use, such as a TLS stream.
+        `max_body_bytes` limits the body of a response. `wrap_stream` turns a newly connected stream
+        into the one to use, such as a TLS stream.
         """
         self.network = network
         self.address = address
-        self.limit = limit
-        self.wrap = wrap
+        self.max_body_bytes = max_body_bytes
+        self.wrap_stream = wrap_stream
         self.headers = [
             ("Host", address if not address.startswith("unix:") else "localhost"),
             *headers,
@@ -50,9 +50,9 @@
         self.http = None
 
     @classmethod
-    def of(cls, conf, address: str, network, who: str) -> "Agent":
-        """Return a client of one of a ConsulConfig's agents, with `who` as its User-Agent."""
-        headers = [("User-Agent", who), ("Accept", "application/json")]
+    def from_config(cls, conf, address: str, network, user_agent: str) -> "AgentClient":
+        """Return a client of one of a ConsulConfig's agents, with its token, if any."""
+        headers = [("User-Agent", user_agent), ("Accept", "application/json")]
         if conf.token:
             headers.append(("X-Consul-Token", conf.token))
         return cls(network, address, headers, conf.answer_limit)
@@ -90,19 +90,19 @@
 
     async def _connect(self):
         stream = await self.network.open(self.address)
-        if self.wrap is not None:
-            stream = await self.wrap(stream)
+        if self.wrap_stream is not None:
+            stream = await self.wrap_stream(stream)
         self.stream = stream
         self.http = h11.Connection(h11.CLIENT)
 
     async def _exchange(self, method, target, body):
         await self._send(method, target, body)
-        answer = await self._receive()
+        response = await self._receive()
         if self.http.our_state is h11.MUST_CLOSE or self.http.their_state is not h11.DONE:
             self.close()
         else:
             self.http.start_next_cycle()
-        return answer
+        return response
 
     async def _send(self, method, target, body):
         http = self.http
@@ -138,9 +138,11 @@
                 }
             elif isinstance(event, h11.Data):
                 body += event.data
-                if len(body) > self.limit:
+                if len(body) > self.max_body_bytes:
                     self.close()
-                    raise AgentError(f"{self.address}: response body exceeds {self.limit} bytes")
+                    raise AgentError(
+                        f"{self.address}: response body exceeds {self.max_body_bytes} bytes"
+                    )
             elif isinstance(event, h11.EndOfMessage):
                 return status, headers, bytes(body)
             elif isinstance(event, h11.ConnectionClosed) or event is h11.PAUSED:
--- a/mothnotch/consul/api.py
+++ b/mothnotch/consul/api.py
@@ -13,7 +13,7 @@
 from mothnotch.decisions.leaf_membership.catalogue_answers import CatalogueAnswer, Instance
 
 # The most parse errors kept of one answer, so that a wholly broken answer does not flood the log.
-MAX_UNREADABLE = 20
+MAX_PARSE_ERRORS = 20
 # The most decimal digits of a number in a header; Consul's are unsigned 64-bit integers.
 MAX_NUMBER_DIGITS = 20
 # Bytes of an error response's body that are shown.
@@ -92,7 +92,7 @@
     CreateIndex: int = 0
 
 
-def target(
+def request_target(
     path: str,
     index: int = 0,
     wait_s: float | None = None,
@@ -104,15 +104,15 @@
     `index` and `wait_s` are those of a blocking query. Parameters that are None or empty are
     omitted.
     """
-    given = {}
+    query_parameters = {}
     if index:
-        given["index"] = str(index)
+        query_parameters["index"] = str(index)
         if wait_s is not None:
-            given["wait"] = f"{max(1, round(wait_s * 1000))}ms"
-    given |= {
+            query_parameters["wait"] = f"{max(1, round(wait_s * 1000))}ms"
+    query_parameters |= {
         name: value for name, value in parameters.items() if value is not None and value != ""
     }
-    query = urlencode(given)
+    query = urlencode(query_parameters)
     if mode != "default":
         query = f"{mode}&{query}" if query else mode
     return f"{path}?{query}" if query else path
@@ -147,7 +147,7 @@
     return status == 500 and any(text in body for text in UNKNOWN_CHECK_TEXTS)
 
 
-def _number(headers, name):
+def _integer_header(headers, name):
     """Return a header's integer, or 0 if it is missing; raise BadAnswerError if it is invalid."""
     text = headers.get(name, "0")
     if not text.isascii() or not text.isdigit() or len(text) > MAX_NUMBER_DIGITS:
@@ -159,12 +159,12 @@
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def _weights(fields):
+def _weight_pair(fields):
     """Return the weights (while passing, while warning)."""
     return (fields.Passing, fields.Warning) if fields else (1, 1)
 
 
-def health_instance(raw: bytes) -> Instance:
+def parse_health_entry(raw: bytes) -> Instance:
     """Parse an entry of /v1/health/service; raise msgspec.MsgspecError if it is invalid."""
     entry = msgspec.json.decode(raw, type=HealthEntry)
     service = entry.Service
@@ -173,13 +173,13 @@
         _address(service.Address or entry.Node.Address, service.Port),
         tuple(service.Tags or ()),
         service.Meta or {},
-        _weights(service.Weights),
+        _weight_pair(service.Weights),
         tuple((check.CheckID, check.Status) for check in entry.Checks or ()),
         service.CreateIndex,
     )
 
 
-def catalog_instance(raw: bytes) -> Instance:
+def parse_catalog_entry(raw: bytes) -> Instance:
     """Parse an entry of /v1/catalog/service; raise msgspec.MsgspecError if it is invalid."""
     entry = msgspec.json.decode(raw, type=CatalogEntry)
     return Instance(
@@ -187,24 +187,24 @@
         _address(entry.ServiceAddress or entry.Address, entry.ServicePort),
         tuple(entry.ServiceTags or ()),
         entry.ServiceMeta or {},
-        _weights(entry.ServiceWeights),
+        _weight_pair(entry.ServiceWeights),
         (),
         entry.CreateIndex,
     )
 
 
-def read_answer(
+def parse_answer(
     status: int,
     headers: dict[str, str],
     body: bytes,
     agent: int,
     requested_us: int,
     mode: str = "default",
-    read: Callable[[bytes], Instance] = health_instance,
+    parse_entry: Callable[[bytes], Instance] = parse_health_entry,
 ) -> CatalogueAnswer:
     """Parse an agent's response about a service; raise BadAnswerError if it is invalid.
 
-    `read` parses one entry. An entry that cannot be parsed is reported in `parse_errors` and
+    `parse_entry` parses one entry. An entry that cannot be parsed is reported in `parse_errors` and
     does not affect the others.
     """
     require_ok(status, headers, body)
@@ -218,19 +218,19 @@
     parse_errors = []
     for position, raw in enumerate(entries):
         try:
-            instances.append(read(raw))
+            instances.append(parse_entry(raw))
         except (msgspec.MsgspecError, RecursionError, UnicodeDecodeError) as error:
             parse_errors.append(f"entry {position}: {error}")
     return CatalogueAnswer(
         agent,
         requested_us,
-        _number(headers, "x-consul-index"),
+        _integer_header(headers, "x-consul-index"),
         tuple(instances),
         mode == "consistent",
         headers.get("x-consul-knownleader", "true") != "false",
-        float(_number(headers, "x-consul-lastcontact")),
+        float(_integer_header(headers, "x-consul-lastcontact")),
         headers.get("x-consul-results-filtered-by-acls") == "true",
-        tuple(parse_errors[:MAX_UNREADABLE]),
+        tuple(parse_errors[:MAX_PARSE_ERRORS]),
     )
 
 
--- a/mothnotch/consul/doubt_resolver.py
+++ b/mothnotch/consul/doubt_resolver.py
@@ -11,7 +11,7 @@
 from mothnotch.root.core import now_us
 
 # Timeout of a consistent query: while there is a doubt, changes of the list are delayed.
-ROUND_LIMIT_S = 1.0
+QUERY_TIMEOUT_S = 1.0
 # After a round that did not resolve the doubt, the next one follows after a pause that doubles each
 # time, so that a catalogue without a leader is not flooded with queries.
 FIRST_PAUSE_S = 0.1
@@ -37,11 +37,11 @@
         self._log = log
         self._random = random
         self._on_round = on_round
-        self._doubted = trio.Event()
+        self._doubt_raised = trio.Event()
 
     def on_doubt(self) -> None:
         """Start rounds of queries, as the membership has a doubt."""
-        self._doubted.set()
+        self._doubt_raised.set()
 
     async def run(self) -> None:
         """Run rounds whenever there is a doubt, until cancelled."""
@@ -50,8 +50,8 @@
         while True:
             if not self._membership.doubt:
                 pause_s = FIRST_PAUSE_S
-                self._doubted = trio.Event()
-                await self._doubted.wait()
+                self._doubt_raised = trio.Event()
+                await self._doubt_raised.wait()
             is_repeated = pause_s > FIRST_PAUSE_S
             if await self._round(agents, self._log.debug if is_repeated else self._log.warning):
                 continue
@@ -67,21 +67,21 @@
             why=self._membership.doubt,
         )
 
-        async def ask_one(number, scope):
+        async def query_one(agent_number, scope):
             try:
-                answer, _ = await self._query.ask(
-                    agents[number], number, 0, None, "consistent", ROUND_LIMIT_S
+                answer, _ = await self._query.send(
+                    agents[agent_number], agent_number, 0, None, "consistent", QUERY_TIMEOUT_S
                 )
             except (AgentError, api.BadAnswerError) as error:
-                log("consistent query failed", agent=agents[number].address, error=str(error))
+                log("consistent query failed", agent=agents[agent_number].address, error=str(error))
                 return
             answers.append(answer)
             if self._resolve(requested_us, [answer], complete=False):
                 scope.cancel()
 
         async with trio.open_nursery() as nursery:
-            for number in range(len(agents)):
-                nursery.start_soon(ask_one, number, nursery.cancel_scope)
+            for agent_number in range(len(agents)):
+                nursery.start_soon(query_one, agent_number, nursery.cancel_scope)
         is_resolved = not self._membership.doubt or self._resolve(
             requested_us, answers, complete=True
         )
--- a/mothnotch/consul/inspect_agents.py
+++ b/mothnotch/consul/inspect_agents.py
@@ -4,12 +4,12 @@
 import trio
 
 from mothnotch.consul import api
-from mothnotch.consul.agent import Agent, AgentError
+from mothnotch.consul.agent import AgentClient, AgentError
 from mothnotch.decisions.leaf_membership.membership import LeafMembership
 from mothnotch.root.core import now_us
 
 # Timeout for all queries to one agent, so that an operator does not wait long for the report.
-AGENT_LIMIT_S = 3.0
+AGENT_TIMEOUT_S = 3.0
 # The most names of other services shown if the configured one does not exist.
 MAX_SHOWN_SERVICES = 20
 
@@ -31,33 +31,33 @@
 
 async def _inspect_agent(conf, settings, network, address):
     """Return the lines about one agent."""
-    agent = Agent.of(conf, address, network, "mothnotch-members")
+    agent = AgentClient.from_config(conf, address, network, "mothnotch-members")
     try:
-        with trio.fail_after(AGENT_LIMIT_S):
-            healthy, listed, services = await _ask(conf, agent)
+        with trio.fail_after(AGENT_TIMEOUT_S):
+            health_answer, catalog_answer, services = await _query_agent(conf, agent)
     except (AgentError, api.BadAnswerError, msgspec.MsgspecError, trio.TooSlowError) as error:
-        return [f"{address}: {error or f'no answer in {AGENT_LIMIT_S:g} s'}"]
+        return [f"{address}: {error or f'no answer in {AGENT_TIMEOUT_S:g} s'}"]
     finally:
         agent.close()
     lines = [
-        f"{address}: index {healthy.index}, leader "
-        f"{'known' if healthy.known_leader else 'NOT known'}, last contact "
-        f"{healthy.last_contact_ms:g} ms, {len(healthy.instances)} of {len(listed.instances)} "
-        f"instances of {conf.service!r}"
-        f"{', filtered by ACLs' if healthy.filtered else ''}"
+        f"{address}: index {health_answer.index}, leader "
+        f"{'known' if health_answer.known_leader else 'NOT known'}, last contact "
+        f"{health_answer.last_contact_ms:g} ms, {len(health_answer.instances)} of "
+        f"{len(catalog_answer.instances)} instances of {conf.service!r}"
+        f"{', filtered by ACLs' if health_answer.filtered else ''}"
     ]
     if conf.service not in services:
         names = ", ".join(sorted(services)[:MAX_SHOWN_SERVICES]) or "none"
         lines.append(f"  no service {conf.service!r}; known services: {names}")
-    lines += [f"  parse error: {error}" for error in healthy.parse_errors]
-    return lines + _instance_lines(settings, network, healthy)
+    lines += [f"  parse error: {error}" for error in health_answer.parse_errors]
+    return lines + _instance_lines(settings, network, health_answer)
 
 
-async def _ask(conf, agent):
+async def _query_agent(conf, agent):
     """Return an agent's health answer, its catalog answer and its services."""
 
     async def get(path, **parameters):
-        target = api.target(
+        target = api.request_target(
             path,
             mode=conf.mode,
             dc=conf.datacenter,
@@ -68,12 +68,14 @@
         return await agent.request("GET", target)
 
     status, headers, body = await get(api.health_path(conf.service), filter=conf.filter)
-    healthy = api.read_answer(status, headers, body, 0, now_us(), conf.mode)
+    health_answer = api.parse_answer(status, headers, body, 0, now_us(), conf.mode)
     status, headers, body = await get(api.catalog_path(conf.service))
-    listed = api.read_answer(status, headers, body, 0, 0, conf.mode, api.catalog_instance)
+    catalog_answer = api.parse_answer(
+        status, headers, body, 0, 0, conf.mode, api.parse_catalog_entry
+    )
     status, headers, body = await get("/v1/catalog/services")
     api.require_ok(status, headers, body)
-    return healthy, listed, msgspec.json.decode(body, type=dict[str, list[str]])
+    return health_answer, catalog_answer, msgspec.json.decode(body, type=dict[str, list[str]])
 
 
 def _instance_lines(settings, network, answer):
@@ -84,12 +86,12 @@
     lines = []
     for instance in answer.instances:
         member = membership.members.get(instance.name)
-        verdict = "not usable"
+        description = "not usable"
         if member is not None:
-            verdict = (
+            description = (
                 f"cell {member.cell:3} weight {member.weight:g} state {member.admin_state}, "
                 f"health {member.health}; effective state {states[instance.name]}"
             )
-        lines.append(f"  {instance.name:24} {instance.address:22} {verdict}")
+        lines.append(f"  {instance.name:24} {instance.address:22} {description}")
     lines += [f"  {event.text}: {event.details}" for event in membership.log_events]
     return lines
--- a/mothnotch/consul/list_cache.py
+++ b/mothnotch/consul/list_cache.py
@@ -16,9 +16,9 @@
 
     async def restore(self, membership: LeafMembership) -> bool:
         """Restore the membership from the list on disk; return whether there was a usable one."""
-        leaves, index, saved_s, wrong = await self._network.work(self._store.load)
-        if wrong:
-            self._log.error("problem with the list cached on disk", wrong=wrong)
+        leaves, index, saved_s, problem = await self._network.work(self._store.load)
+        if problem:
+            self._log.error("problem with the list cached on disk", wrong=problem)
         if leaves is None:
             return False
         age_s = self._network.wall() - saved_s
--- a/mothnotch/consul/registrar.py
+++ b/mothnotch/consul/registrar.py
@@ -8,7 +8,7 @@
 import trio
 
 from mothnotch.consul import api
-from mothnotch.consul.agent import Agent, AgentError
+from mothnotch.consul.agent import AgentClient, AgentError
 from mothnotch.decisions.registration_policy import (
     RegistrationPolicy,
     RegistrationStep,
@@ -16,9 +16,9 @@
 )
 
 # Timeout of one step; an agent that exceeds it counts as failed.
-STEP_LIMIT_S = 2.0
+STEP_TIMEOUT_S = 2.0
 # Timeout of all steps of a shutdown, which does not wait longer for unreachable agents.
-STOP_LIMIT_S = 1.0
+SHUTDOWN_TIMEOUT_S = 1.0
 
 
 class Registrar:
@@ -27,40 +27,41 @@
     def __init__(
         self,
         conf,
-        me: int,
+        root_index: int,
         name: str,
         network,
         log,
         random: Callable[[], float],
-        where: Callable[[], tuple[str, int]],
-        more: Callable[[], dict[str, str]] = dict,
+        get_address: Callable[[], tuple[str, int]],
+        get_extra_meta: Callable[[], dict[str, str]] = dict,
     ):
-        """Register root `me` as `name`.
+        """Register root `root_index` as `name`.
 
-        `conf` is a ConsulConfig with `register`. `where()` returns the (host, port) at which the
-        root serves, `more()` the metadata to register in addition to the configured one.
+        `conf` is a ConsulConfig with `register`. `get_address()` returns the (host, port) at which
+        the root serves, `get_extra_meta()` the metadata to register in addition to the configured.
         """
         self._conf = conf
         self._name = name
         self._log = log
-        self._where = where
-        self._more = more
+        self._get_address = get_address
+        self._get_extra_meta = get_extra_meta
         self._agents = [
-            Agent.of(conf, address, network, f"mothnotch/{me}") for address in conf.agents
+            AgentClient.from_config(conf, address, network, f"mothnotch/{root_index}")
+            for address in conf.agents
         ]
-        self._registration = RegistrationPolicy(len(conf.agents), me, conf.register.ttl_s, random)
+        self._policy = RegistrationPolicy(len(conf.agents), root_index, conf.register.ttl_s, random)
 
     async def run(self) -> None:
-        """Maintain the registration until cancelled; then remove it, within `STOP_LIMIT_S`."""
+        """Maintain the registration until cancelled, then remove it."""
         try:
             while True:
-                step = self._registration.next_step()
+                step = self._policy.next_step()
                 await trio.sleep(step.delay_s)
                 await self._perform(step)
         finally:
-            with trio.CancelScope(shield=True), trio.move_on_after(STOP_LIMIT_S):
+            with trio.CancelScope(shield=True), trio.move_on_after(SHUTDOWN_TIMEOUT_S):
                 async with trio.open_nursery() as nursery:
-                    for step in self._registration.shutdown_steps():
+                    for step in self._policy.shutdown_steps():
                         nursery.start_soon(self._perform, step)
             for agent in self._agents:
                 agent.close()
@@ -68,24 +69,24 @@
     async def _perform(self, step):
         address = self._conf.agents[step.agent]
         try:
-            with trio.move_on_after(STEP_LIMIT_S) as scope:
+            with trio.move_on_after(STEP_TIMEOUT_S) as scope:
                 is_known = await self._put(step)
             if scope.cancelled_caught:
-                raise AgentError(f"{address}: no answer in {STEP_LIMIT_S:g} s")
+                raise AgentError(f"{address}: no answer in {STEP_TIMEOUT_S:g} s")
         except (AgentError, api.BadAnswerError) as error:
-            if not self._registration.failures:
+            if not self._policy.failures:
                 self._log.warning(
                     "a step of the registration failed", step=step.kind.value, error=str(error)
                 )
-            self._registration.on_failure(trio.current_time(), step)
+            self._policy.on_failure(trio.current_time(), step)
             return
         if not is_known:
-            self._registration.on_failure(trio.current_time(), step, lost=True)
+            self._policy.on_failure(trio.current_time(), step, lost=True)
             self._log.warning(
                 "the agent lost the registration; the root registers again", agent=address
             )
             return
-        self._registration.on_success(step)
+        self._policy.on_success(step)
         if step.kind is StepKind.REGISTER:
             self._log.info("registered", name=self._name, agent=address)
 
@@ -95,23 +96,25 @@
         Raise BadAnswerError or AgentError if the request fails otherwise.
         """
         path, body = self._request(step)
-        target = api.target(path, dc=None, ns=self._conf.namespace, partition=self._conf.partition)
-        status, headers, said = await self._agents[step.agent].request("PUT", target, body)
-        if step.kind is StepKind.HEARTBEAT and api.is_unknown_check(status, said):
+        target = api.request_target(
+            path, dc=None, ns=self._conf.namespace, partition=self._conf.partition
+        )
+        status, headers, response_body = await self._agents[step.agent].request("PUT", target, body)
+        if step.kind is StepKind.HEARTBEAT and api.is_unknown_check(status, response_body):
             return False
-        api.require_ok(status, headers, said)
+        api.require_ok(status, headers, response_body)
         return True
 
     def _request(self, step):
         """Return the (path, body) of a step's request."""
         if step.kind is StepKind.REGISTER:
-            host, port = self._where()
+            host, port = self._get_address()
             body = api.registration_body(
                 self._conf.register.service,
                 self._name,
                 host,
                 port,
-                self._conf.register.meta | self._more(),
+                self._conf.register.meta | self._get_extra_meta(),
                 self._conf.register.ttl_s,
             )
             return "/v1/agent/service/register", body
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -24,9 +24,9 @@
 from mothnotch.root.core import now_us
 
 # The longest wait for the module's Subscribe: a module that sends none must not stop the polling.
-SUBSCRIBE_LIMIT_S = 30.0
+MAX_SUBSCRIBE_WAIT_S = 30.0
 # The longest interval between checks of decisions that depend on time.
-TICK_S = 1.0
+MAX_TICK_INTERVAL_S = 1.0
 # The shortest interval between two saves of the list, as each costs an fsync.
 SAVE_INTERVAL_S = 1.0
 
@@ -41,7 +41,7 @@
         self,
         conf,
         settings: MembershipSettings,
-        me: int,
+        root_index: int,
         core,
         leaves,
         network,
@@ -49,13 +49,13 @@
         store,
         random: Callable[[], float],
     ):
-        """Watch for root `me` and notify its `core` and its connection pools `leaves`.
+        """Watch for root `root_index` and notify its `core` and its connection pools `leaves`.
 
         `conf` is a ConsulConfig, `store` an EndpointCache or None. `random()` returns numbers from
         0 to 1.
         """
         self.conf = conf
-        self.me = me
+        self.root_index = root_index
         self.core = core
         self.leaves = leaves
         self.network = network
@@ -66,13 +66,13 @@
         self.version = 0
         self.entries = None
         self.kind = None
-        self._query = ServiceQuery(conf, network, me)
-        self._resolver = DoubtResolver(
-            self._query, self.membership, network, log, random, self._on_round
+        self._query = ServiceQuery(conf, network, root_index)
+        self._doubt_resolver = DoubtResolver(
+            self._query, self.membership, network, log, random, self._on_round_end
         )
-        self._cache = None
+        self._list_cache = None
         if store is not None:
-            self._cache = ListCache(store, conf.held_most_s, network, log)
+            self._list_cache = ListCache(store, conf.held_most_s, network, log)
         # For each watch: whether its last query was answered.
         self._answering = [False] * min(conf.follow, len(conf.agents))
         # Whether the module was notified of a failure since the last list.
@@ -80,29 +80,29 @@
         # The Subscribe that the last reported failure awaits.
         self._reported_subscribe = None
         # The digest of the last merged answer.
-        self._digest = None
+        self._merged_digest = None
         # Set when there is a list to save.
-        self._changed = trio.Event()
+        self._list_changed = trio.Event()
         # Set when the first list from an agent's answer is published.
-        self._live_list = trio.Event()
+        self._live_list_published = trio.Event()
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled.
 
         The task reports that it has started once there is a list, or after `first_s` without one.
         """
-        if self._cache is not None and await self._cache.restore(self.membership):
+        if self._list_cache is not None and await self._list_cache.restore(self.membership):
             self.publish()
         async with trio.open_nursery() as nursery:
-            for watch in range(len(self._answering)):
-                nursery.start_soon(self._watch, watch)
-            nursery.start_soon(self._resolver.run)
-            nursery.start_soon(self._keep_time)
-            if self._cache is not None:
-                nursery.start_soon(self._keep_saving)
+            for watch_number in range(len(self._answering)):
+                nursery.start_soon(self._poll, watch_number)
+            nursery.start_soon(self._doubt_resolver.run)
+            nursery.start_soon(self._run_timers)
+            if self._list_cache is not None:
+                nursery.start_soon(self._save_changes)
             if self.entries is None:
                 with trio.move_on_after(self.conf.first_s):
-                    await self._live_list.wait()
+                    await self._live_list_published.wait()
             task_status.started()
 
     def publish(self) -> None:
@@ -137,53 +137,57 @@
             up=sum(entry.state == "up" for entry in entries),
             leaves=len(entries),
         )
-        self._changed.set()
+        self._list_changed.set()
         if membership.is_live:
-            self._live_list.set()
+            self._live_list_published.set()
 
     # ---- polling ----
 
-    async def _watch(self, watch):
+    async def _poll(self, watch_number):
         """Send blocking queries, one after the other, until cancelled."""
         agents = self._query.agents()
-        polling = PollPolicy(len(agents), self.me + watch, self.conf.wait_s, self.random)
+        polling = PollPolicy(
+            len(agents), self.root_index + watch_number, self.conf.wait_s, self.random
+        )
         followed_agent = None
         while True:
-            query = polling.next_poll(trio.current_time())
-            if query.delay_s:
-                await trio.sleep(query.delay_s)
-            agent = agents[query.agent]
+            poll = polling.next_poll(trio.current_time())
+            if poll.delay_s:
+                await trio.sleep(poll.delay_s)
+            agent = agents[poll.agent]
             try:
-                answer, digest = await self._query.ask(
+                answer, digest = await self._query.send(
                     agent,
-                    query.agent,
-                    query.index,
-                    query.wait_s,
+                    poll.agent,
+                    poll.index,
+                    poll.wait_s,
                     self.conf.mode,
-                    query.timeout_s,
+                    poll.timeout_s,
                 )
             except (AgentError, api.BadAnswerError) as error:
                 agent.close()
                 polling.on_failure(trio.current_time(), getattr(error, "retry_after_s", 0.0))
-                self._on_failure(watch, error, query.agent)
+                self._on_failure(watch_number, error, poll.agent)
                 if polling.all_agents_failed:
                     await self._await_subscribe()
                 continue
-            if query.agent != followed_agent:
-                followed_agent = query.agent
-                self.log.info("following", agent=self.conf.agents[followed_agent], watch=watch)
+            if poll.agent != followed_agent:
+                followed_agent = poll.agent
+                self.log.info(
+                    "following", agent=self.conf.agents[followed_agent], watch=watch_number
+                )
             polling.on_answer(trio.current_time(), answer.index)
-            self._answering[watch] = True
+            self._answering[watch_number] = True
             self._on_answer(answer, digest)
 
-    def _on_failure(self, watch, error, agent_number):
-        if self._answering[watch]:
+    def _on_failure(self, watch_number, error, agent_number):
+        if self._answering[watch_number]:
             self.log.warning(
                 "an agent failed; the next one is queried",
                 agent=self.conf.agents[agent_number],
                 error=str(error),
             )
-        self._answering[watch] = False
+        self._answering[watch_number] = False
         if not any(self._answering):
             self.membership.on_agent_failure(now_us())
 
@@ -201,42 +205,42 @@
         if self._reported_subscribe is not subscribe:
             self._reported_subscribe = subscribe
             self.core.on_watch_event(WatchEvent(WatchEventKind.FAILED, self.version, ()))
-        with trio.move_on_after(SUBSCRIBE_LIMIT_S):
+        with trio.move_on_after(MAX_SUBSCRIBE_WAIT_S):
             await subscribe.wait()
 
     def _on_answer(self, answer, digest):
-        is_same = digest == self._digest
+        is_same = digest == self._merged_digest
         if is_same and not self._failure_notified and not self.membership.is_unsynced:
             # The blocking query timed out without a change.
             return
         if self.membership.on_answer(now_us(), self.network.wall(), answer):
-            self._digest = digest
+            self._merged_digest = digest
         self.publish()
         if self.membership.doubt:
-            self._resolver.on_doubt()
+            self._doubt_resolver.on_doubt()
 
-    def _on_round(self, is_resolved):
+    def _on_round_end(self, is_resolved):
         if is_resolved:
             # The next answer is merged even if it equals the last one before the doubt.
-            self._digest = None
+            self._merged_digest = None
         self.publish()
 
     # ---- timers and disk ----
 
-    async def _keep_time(self):
+    async def _run_timers(self):
         while True:
             release_us = self.membership.next_release_us()
-            pause_s = TICK_S
+            pause_s = MAX_TICK_INTERVAL_S
             if release_us is not None:
-                pause_s = min(TICK_S, max(0.001, (release_us - now_us()) / 1e6))
+                pause_s = min(MAX_TICK_INTERVAL_S, max(0.001, (release_us - now_us()) / 1e6))
             await trio.sleep(pause_s)
             self.membership.on_tick(now_us(), self.leaves.own())
             self.publish()
 
-    async def _keep_saving(self):
+    async def _save_changes(self):
         while True:
-            await self._changed.wait()
-            self._changed = trio.Event()
+            await self._list_changed.wait()
+            self._list_changed = trio.Event()
             if self.membership.is_live:
-                await self._cache.save(self.membership)
+                await self._list_cache.save(self.membership)
             await trio.sleep(SAVE_INTERVAL_S)
--- a/mothnotch/peers/peer_discovery.py
+++ b/mothnotch/peers/peer_discovery.py
@@ -10,7 +10,7 @@
 import trio
 
 from mothnotch.consul import api
-from mothnotch.consul.agent import Agent, AgentError
+from mothnotch.consul.agent import AgentClient, AgentError
 
 # Metadata key under which a root registers HOST:PORT of its datagram socket.
 META_KEY = "peers"
@@ -34,7 +34,9 @@
         self.log = log
         self.on_addresses = on_addresses
         user_agent = f"mothnotch-peers/{own_number}"
-        self.agents = [Agent.of(conf, address, network, user_agent) for address in conf.agents]
+        self.agents = [
+            AgentClient.from_config(conf, address, network, user_agent) for address in conf.agents
+        ]
         self._agent_index = own_number  # spreads roots over the agents
         self._is_failing = False
 
@@ -48,8 +50,8 @@
             for agent in self.agents:
                 agent.close()
 
-    async def _poll(self, agent: Agent) -> None:
-        path = api.target(
+    async def _poll(self, agent: AgentClient) -> None:
+        path = api.request_target(
             api.catalog_path(self.conf.register.service),
             mode="stale",
             dc=self.conf.datacenter,
@@ -59,7 +61,9 @@
         try:
             with trio.fail_after(POLL_TIMEOUT_S):
                 status_headers_body = await agent.request("GET", path)
-                answer = api.read_answer(*status_headers_body, 0, 0, "stale", api.catalog_instance)
+                answer = api.parse_answer(
+                    *status_headers_body, 0, 0, "stale", api.parse_catalog_entry
+                )
         except (AgentError, api.BadAnswerError, trio.TooSlowError) as error:
             self._on_failure(agent, error)
             return
@@ -67,7 +71,7 @@
         instances = answer.instances
         self.on_addresses([one.meta[META_KEY] for one in instances if META_KEY in one.meta])
 
-    def _on_failure(self, agent: Agent, error: Exception) -> None:
+    def _on_failure(self, agent: AgentClient, error: Exception) -> None:
         """Switch to the next agent, and log only the first of consecutive failures."""
         if not self._is_failing:
             self.log.warning(
--- a/mothnotch/store/endpoint_cache.py
+++ b/mothnotch/store/endpoint_cache.py
@@ -24,7 +24,7 @@
 # The errors that a call raises on a damaged file.
 DAMAGE_ERRORS = (sqlite3.DatabaseError, UnicodeDecodeError, OverflowError)
 # The format version, part of the fingerprint: lists of another version are not read.
-FORMAT = 1
+FORMAT_VERSION = 1
 
 # The names of the table and its columns must not change: releases read each other's files.
 _CREATE_TABLE = (
@@ -51,12 +51,12 @@
     since: float | None = None
 
 
-def encode(leaves: Iterable[CachedLeaf]) -> bytes:
+def encode_leaves(leaves: Iterable[CachedLeaf]) -> bytes:
     """Return a list of leaves encoded as the body of a row."""
     return msgspec.json.encode([_to_stored(leaf) for leaf in leaves])
 
 
-def decode(body: bytes) -> list[CachedLeaf]:
+def decode_leaves(body: bytes) -> list[CachedLeaf]:
     """Return the leaves in a body; raise msgspec.MsgspecError if it is invalid."""
     return [_from_stored(leaf) for leaf in msgspec.json.decode(body, type=list[StoredLeaf])]
 
@@ -67,14 +67,14 @@
     def __init__(self, path: str | os.PathLike, fingerprint: str):
         """Use the file at `path`, and ignore lists with another fingerprint."""
         self.path = str(path)
-        self._fingerprint = f"{FORMAT} {fingerprint}"
+        self._fingerprint = f"{FORMAT_VERSION} {fingerprint}"
 
     def save(self, leaves: Iterable[CachedLeaf], index: int, saved_s: float) -> None:
         """Write a list saved at `saved_s` (wall clock, seconds); raise OSError if that fails."""
-        body = encode(leaves)
+        body = encode_leaves(leaves)
         checksum = self._checksum(saved_s, index, body)
         try:
-            with closing(self._open()) as database, database:
+            with closing(self._connect()) as database, database:
                 database.execute("BEGIN IMMEDIATE")
                 database.execute(_INSERT, (saved_s, self._fingerprint, index, body, checksum))
                 database.execute(_DELETE_OLD, (KEPT_LISTS,))
@@ -82,7 +82,7 @@
         except DAMAGE_ERRORS as error:
             if not isinstance(error, sqlite3.OperationalError):
                 # The file is damaged: the next save creates a new one.
-                self._set_aside()
+                self._rename_broken_file()
             raise OSError(f"{self.path}: {error}") from None
 
     def load(self) -> tuple[list[CachedLeaf] | None, int, float, str]:
@@ -94,24 +94,24 @@
         if not os.path.exists(self.path):
             return None, 0, 0.0, ""
         try:
-            with closing(self._open()) as database:
+            with closing(self._connect()) as database:
                 rows = database.execute(_SELECT).fetchall()
         except DAMAGE_ERRORS as error:
-            self._set_aside()
+            self._rename_broken_file()
             return None, 0, 0.0, f"{error}; the file was renamed to {self.path}.broken"
-        wrong = ""
+        problem = ""
         for saved_s, fingerprint, index, body, checksum in rows:
             if fingerprint != self._fingerprint:
-                wrong = wrong or (
+                problem = problem or (
                     f"a list of {fingerprint!r} instead of {self._fingerprint!r} is ignored"
                 )
             elif not isinstance(body, bytes) or checksum != self._checksum(saved_s, index, body):
-                wrong = "a list has a wrong checksum; the previous one is tried"
+                problem = "a list has a wrong checksum; the previous one is tried"
             else:
-                return decode(body), index, saved_s, wrong
-        return None, 0, 0.0, wrong
+                return decode_leaves(body), index, saved_s, problem
+        return None, 0, 0.0, problem
 
-    def _open(self):
+    def _connect(self):
         database = sqlite3.connect(self.path, timeout=BUSY_TIMEOUT_S, isolation_level=None)
         try:
             database.execute("PRAGMA synchronous = FULL")
@@ -125,10 +125,10 @@
         head = repr((self._fingerprint, saved_s, index)).encode()
         return hashlib.blake2b(head + body, digest_size=CHECKSUM_BYTES).digest()
 
-    def _set_aside(self):
-        for ending in ("-wal", "-shm", "-journal"):
-            if os.path.exists(self.path + ending):
-                os.replace(self.path + ending, f"{self.path}.broken{ending}")
+    def _rename_broken_file(self):
+        for suffix in ("-wal", "-shm", "-journal"):
+            if os.path.exists(self.path + suffix):
+                os.replace(self.path + suffix, f"{self.path}.broken{suffix}")
         if os.path.exists(self.path):
             os.replace(self.path, f"{self.path}.broken")
 
--- a/mothnotch/studies/catalogue.py
+++ b/mothnotch/studies/catalogue.py
@@ -217,7 +217,7 @@
         m, read, decide, rounds = LeafMembership(settings), 0.0, 0.0, 200
         for n in range(rounds):
             begun = time.thread_time()
-            answer = api.read_answer(200, {"x-consul-index": str(n + 1)}, bodies[n % 2], 0, n)
+            answer = api.parse_answer(200, {"x-consul-index": str(n + 1)}, bodies[n % 2], 0, n)
             between = time.thread_time()
             m.on_answer(n * 100_000, 1.8e9, answer)
             m.on_tick(n * 100_000, {})
--- a/tests/test_catalogue_parts.py
+++ b/tests/test_catalogue_parts.py
@@ -15,7 +15,7 @@
 
 from mothnotch import demo, net
 from mothnotch.consul import api
-from mothnotch.consul.agent import Agent, AgentError
+from mothnotch.consul.agent import AgentClient, AgentError
 from mothnotch.decisions.leaf_membership.catalogue_answers import CachedLeaf
 from mothnotch.net.memory import MemoryNetwork
 from mothnotch.standins.consul import (
@@ -41,7 +41,7 @@
 
 def read(entries, headers=HEADERS, status=200):
     body = entries if isinstance(entries, bytes) else json.dumps(entries).encode()
-    return api.read_answer(status, headers, body, 0, 0)
+    return api.parse_answer(status, headers, body, 0, 0)
 
 
 def test_answers_are_read_as_the_api_gives_them():
@@ -81,7 +81,7 @@
     )
     assert read([], {**HEADERS, "x-consul-knownleader": "false"}).is_stale
     assert read([], {**HEADERS, "x-consul-results-filtered-by-acls": "true"}).filtered
-    catalog = api.catalog_instance(
+    catalog = api.parse_catalog_entry(
         b'{"Node": "n1", "Address": "10.0.0.1", "ServiceID": "a", "ServicePort": 5}'
     )
     assert (catalog.name, catalog.address) == ("n1/a", "10.0.0.1:5")
@@ -115,8 +115,8 @@
 
 
 def test_targets():
-    assert api.target("/p") == "/p" and api.target("/p", mode="stale") == "/p?stale"
-    assert api.target("/p", 7, 2.5, "stale", dc="d", ns=None, filter='a == "b"') == (
+    assert api.request_target("/p") == "/p" and api.request_target("/p", mode="stale") == "/p?stale"
+    assert api.request_target("/p", 7, 2.5, "stale", dc="d", ns=None, filter='a == "b"') == (
         "/p?stale&index=7&wait=2500ms&dc=d&filter=a+%3D%3D+%22b%22"
     )
     assert api.health_path("a/b c") == "/v1/health/service/a%2Fb%20c"
@@ -142,7 +142,9 @@
             nursery.start_soon(server)
             try:
                 with trio.fail_after(2):
-                    return await Agent(network, "a:1", limit=1000).request("GET", "/")
+                    return await AgentClient(network, "a:1", max_body_bytes=1000).request(
+                        "GET", "/"
+                    )
             finally:
                 nursery.cancel_scope.cancel()
 
