--- a/mothnotch/decisions/balancer/tenant_quotas.py
+++ b/mothnotch/decisions/balancer/tenant_quotas.py
@@ -20,7 +20,7 @@
 
     def is_within(self, tenant: str | None, now_us: int) -> bool:
         """Return whether one more query would be within the tenant's quota, if it has one."""
-        return tenant not in self._buckets or self._buckets[tenant].holds(now_us)
+        return tenant not in self._buckets or self._buckets[tenant].has_tokens(now_us)
 
     def take(self, tenant: str | None, now_us: int) -> bool:
         """Charge one query to the tenant's quota; return whether it was within the quota."""
--- a/mothnotch/decisions/invariants.py
+++ b/mothnotch/decisions/invariants.py
@@ -2,8 +2,8 @@
 
 Pure. Other modules enforce these rules (`connection_policy.withheld_result` before bytes are sent,
 the frontend before it closes a connection). The checks here run after the fact and independently of
-that code, so that a code path that bypasses it is detected. A violation is a defect of the root: it
-is counted and logged with the ids it concerns, and has no other effect.
+that code, to detect code paths that bypass it. A violation is a defect of the root: it is counted
+and logged with the ids it concerns, and has no other effect.
 """
 
 import math
--- a/mothnotch/decisions/resource_limits.py
+++ b/mothnotch/decisions/resource_limits.py
@@ -40,13 +40,13 @@
     """Limits on connections (counts) and their timeouts (seconds)."""
 
     # Maximum number of client connections; beyond it the longest idle one is closed.
-    clients: int
+    max_clients: int
     # Maximum number of connections to all leaves together.
     max_leaf_connections: int
     # Idle time after which a connection to a leaf is closed.
-    leaf_idle_s: float
+    leaf_idle_timeout_s: float
     # Idle time after which a client's connection is closed.
-    client_idle_s: float
+    client_idle_timeout_s: float
     # Maximum time from connecting, or from the first byte of a request, to its last byte.
     request_timeout_s: float
     # Maximum time for a client to read its answer.
@@ -68,10 +68,10 @@
     shared = max(MIN_SHARED_DESCRIPTORS, descriptors - RESERVED_DESCRIPTORS)
     longest_s = min(longest_deadline_us / 1e6, MAX_SHUTDOWN_DEADLINE_S)
     return ResourceLimits(
-        clients=shared // 2,
+        max_clients=shared // 2,
         max_leaf_connections=shared // 4,
-        leaf_idle_s=LEAF_IDLE_FRACTION * idle_us / 1e6,
-        client_idle_s=8.0,
+        leaf_idle_timeout_s=LEAF_IDLE_FRACTION * idle_us / 1e6,
+        client_idle_timeout_s=8.0,
         request_timeout_s=2.0,
         send_timeout_s=3.0,
         shutdown_accept_s=0.55,
--- a/mothnotch/decisions/sliding_window.py
+++ b/mothnotch/decisions/sliding_window.py
@@ -9,9 +9,8 @@
     def __init__(self, span_us: int):
         """Start empty; an amount as old as `span_us` no longer counts."""
         self.span_us = span_us
-        self.items = (
-            deque()
-        )  # (time added, amount); bounded by the number of additions within the span
+        # (time added, amount); bounded by the number of additions within the span
+        self.items = deque()
         self.sum = 0.0
 
     def add(self, now_us: int, amount: float = 1) -> None:
--- a/mothnotch/decisions/token_bucket.py
+++ b/mothnotch/decisions/token_bucket.py
@@ -15,7 +15,7 @@
         """Add tokens, up to the bucket's size."""
         self.tokens = min(self.size, self.tokens + tokens)
 
-    def holds(self, now_us: int, cost: float = 1) -> bool:
+    def has_tokens(self, now_us: int, cost: float = 1) -> bool:
         """Return whether the bucket contains `cost` tokens now."""
         self.add((now_us - (self.refilled_us or now_us)) * self.rate_per_s / 1e6)
         self.refilled_us = now_us
@@ -23,6 +23,6 @@
 
     def take(self, now_us: int, cost: float = 1, reserve: float = 0) -> bool:
         """Take `cost` tokens if that leaves `reserve`; return whether they were taken."""
-        taken = self.holds(now_us, cost + reserve)
+        taken = self.has_tokens(now_us, cost + reserve)
         self.tokens -= cost * taken
         return taken
--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -73,7 +73,7 @@
         if self.query is not None:
             return None
         if self.served and not self.partial:
-            return self.since_s + share.client_idle_s
+            return self.since_s + share.client_idle_timeout_s
         return self.since_s + share.request_timeout_s
 
     # ---- requests in ----
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -24,7 +24,7 @@
 
 
 class ClientConnections:
-    """The connections of a frontend's clients, `share.clients` at most: past it some are shed."""
+    """The connections of a frontend's clients, `share.max_clients` at most: past it some go."""
 
     def __init__(self, context: FrontendContext, handler: RequestHandler):
         """`handler`: knows their open requests."""
@@ -38,7 +38,7 @@
         self.clients[client] = None
         self.context.counts["connections"] += 1
         self.context.network.prepare(client.stream)
-        if len(self.clients) > self.context.share.clients:
+        if len(self.clients) > self.context.share.max_clients:
             self.shed()
 
     # ---- steps of a client's protocol ----
@@ -131,8 +131,8 @@
         """
         share = self.context.share
         idle = [client for client in self.clients if client.is_idle]
-        for client in resource_limits.clients_to_close(idle, len(self.clients), share.clients):
-            if len(self.clients) <= share.clients:
+        for client in resource_limits.clients_to_close(idle, len(self.clients), share.max_clients):
+            if len(self.clients) <= share.max_clients:
                 break
             if client.lingering:
                 self.close(client, ClientClose.LAST_ANSWER)
--- a/mothnotch/node/root.py
+++ b/mothnotch/node/root.py
@@ -57,7 +57,7 @@
             config.streams,
             settings.parts_per_call,
             self.share.max_leaf_connections,
-            self.share.leaf_idle_s,
+            self.share.leaf_idle_timeout_s,
             (settings.limits.connect_timeout_us or CONNECT_TIMEOUT_US) / 1e6,
             settings.limits.hedging,
         )
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -58,7 +58,7 @@
         elif end == "shed":
             frontend.context.share = r.root.share.__class__(
                 **{
-                    n: 0 if n == "clients" else getattr(r.root.share, n)
+                    n: 0 if n == "max_clients" else getattr(r.root.share, n)
                     for n in r.root.share.__slots__
                 }
             )
@@ -77,7 +77,7 @@
 @real
 async def test_past_the_share_of_clients_who_has_asked_nothing_is_told_so():
     async with rig(sockets=32) as r:
-        clients = [r.client() for _ in range(r.root.share.clients + 1)]
+        clients = [r.client() for _ in range(r.root.share.max_clients + 1)]
         await until(lambda: r.root.frontend.context.counts["shed"] == 1)
         assert (await clients[0].answer())[0] == 503
 
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -268,7 +268,7 @@
         assert (await old.ask("r0", "read", (0,)))[0] == 200
         silent = [await day.client() for _ in range(200)]
         assert (await (await day.client()).ask("r1", "read", (0, 1)))[0] == 200
-        assert len(day.root.frontend.connections.clients) <= day.root.share.clients
+        assert len(day.root.frontend.connections.clients) <= day.root.share.max_clients
         assert await old.answer() is None  # the longest idle
         await trio.sleep(3)
         assert (
