--- a/tests/support/balancer_driver.py
+++ b/tests/support/balancer_driver.py
@@ -1,4 +1,4 @@
-"""A hand-driven root: settings, a clock and short ways to make events."""
+"""A driver for `Balancer`: settings, a simulated clock and helpers that create events."""
 
 from dataclasses import replace
 
@@ -43,14 +43,15 @@
 
 
 class Root:
-    """Drives one Balancer; wakes it when it asked to be woken."""
+    """Drives one Balancer on a simulated clock, and fires the timers that it sets."""
 
     def __init__(self, *classes, servers=("s1", "s2", "s3"), seed=1, now=1000 * S, **changes):
         self.balancer = Balancer(settings(*classes, **changes), seed)
         self.now, self.timers_us, self.query_count = now, [], 0
-        self.in_flight, self.all_actions = {}, []  # (part, attempt) -> server; every action so far
-        self.sent_us = {}  # (part, attempt) -> when it was sent
-        self.attempt_numbers = {}  # part -> attempts so far
+        # in_flight: (part, attempt) -> server; all_actions: every action so far
+        self.in_flight, self.all_actions = {}, []
+        self.sent_us = {}  # (part, attempt) -> time of its send
+        self.attempt_numbers = {}  # part -> number of its latest attempt
         listed = tuple(s if isinstance(s, i.Endpoint) else endpoint(s) for s in servers)
         self.handle(i.WatchEvent(i.WatchEventKind.CACHED, 1, listed))
 
@@ -92,8 +93,9 @@
         )
 
     def end_attempt(self, part, result=i.Result.OK, attempt=None, latency=None):
-        """Ends an attempt; a cancelled one after the time since it was sent, others after 50 ms, if
-        no latency is given.
+        """End an attempt, the latest one by default.
+
+        Without `latency`, a cancelled attempt took the time since its send, any other 50 ms.
         """
         attempt = self.attempt_numbers[part] if attempt is None else attempt
         server = self.in_flight.pop((part, attempt))
@@ -107,7 +109,7 @@
         return self.handle(i.WatchEvent(kind, 2, entries))
 
     def run(self, span, step=5 * MS):
-        """Lets time pass, waking the balancer as it asked; the actions taken meanwhile."""
+        """Advance the clock by `span`, firing timers that are due; return the actions meanwhile."""
         seen, until = [], self.now + span
         while self.now < until:
             self.now += step
--- a/tests/test_budget.py
+++ b/tests/test_budget.py
@@ -1,5 +1,6 @@
-"""Further attempts stay within their budget in the window in which they leave, not in that in which
-they were decided.
+"""Retries stay within the retry budget of the window in which they are sent.
+
+The window in which they were decided may hold more queries, and so allow more retries.
 """
 
 import pytest
@@ -18,30 +19,31 @@
     return i.Rules(20_000, 0.2, 9 * S, 3.0, 3 * S, share, free, window_us)
 
 
-def test_the_window_is_that_of_leaving():
+def test_the_budget_counts_retries_in_the_window_in_which_they_are_sent():
     budget = RetryBudget(rules())
-    budget.record_admitted(0, 19)  # 20 in all: 1 + 2
+    budget.record_admitted(0, 19)  # a query and 19 parts: 1 + 0.1 * 20 = 3 retries
     for n in range(3):
         assert budget.may_send(n)
         budget.record_sent(n)
     assert not budget.may_send(3)
-    assert budget.may_send(S + 5)  # those have left the window; so has what was taken
+    assert budget.may_send(S + 5)  # the three retries have left the window, and so has the query
     budget.record_sent(S + 5)
     assert not budget.may_send(S + 6)
 
 
-def test_no_budget_bounds_nothing():
+def test_without_a_budget_retries_are_unlimited():
     budget = RetryBudget(rules(share=None))
     assert all(budget.may_send(0) for _ in range(100))
 
 
 @real
 @pytest.mark.parametrize("wait_s", [1.3])
-async def test_further_attempts_that_waited_for_their_connections_do_not_leave_past_the_budget(
+async def test_retries_that_waited_for_a_connection_are_not_sent_beyond_the_budget(
     wait_s,
 ):
-    """Ten parts are lost by a reset while a burst lies in the window; their next attempts wait for
-    a connection until that window is over.
+    """A reset loses ten parts while a burst of queries is in the window.
+
+    Their retries then wait for a connection until that window is over.
     """
     lanes = [{**lane, "aimUs": 4_000_000, "deadlineUs": 8_000_000} for lane in options()["lanes"]]
     async with rig(
@@ -58,15 +60,15 @@
         for n, client in enumerate(clients[1:], 1):
             client.now(request(f"r{n}", "read", (0,), timeout_ms=6000))
         await until(lambda: r.root.core.counts["sends"] == 10)
-        r.network.gate = trio.Event()  # no connection comes up until the test says so
+        r.network.gate = trio.Event()  # holds all new connections back until it is set
         link.stream.socket.close()
         await trio.sleep(wait_s)
         r.network.gate.set()
-        found = []
+        sent = []
 
         async def read(one):
             while (frame := await one.frame()) is not None:
-                found.extend(
+                sent.extend(
                     (trio.current_time(), wire_id) for wire_id in ids(frame[1]) if frame[0] == "m"
                 )
 
@@ -77,5 +79,5 @@
         r.nursery.start_soon(accept, other)
         r.nursery.start_soon(accept, home)
         await trio.sleep(0.5)
-        assert len(found) <= 1, found  # one is free; nothing was taken in this window
+        assert len(sent) <= 1, sent  # the minimum of one; no query arrived in this window
         assert not r.root.core.violations.total
