--- a/tests/test_root_errors.py
+++ b/tests/test_root_errors.py
@@ -133,8 +133,8 @@
 
 @real
 async def test_too_deeply_nested_body_of_a_pipelined_request_does_not_stop_the_root():
-    """The second request is parsed in the turn that answers the first: an error in that turn used to
-    stop the root.
+    """The second request is parsed in the turn that answers the first: an error in it used to stop
+    the root.
     """
     async with rig() as r:
         other, client, home = r.client(), r.client(), r.home(0)
