--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -1,5 +1,6 @@
-"""Days with a catalogue, on a virtual clock: departures, the agents' troubles, and a breach planted
-for the auditor.
+"""Simulated days with a catalogue, on a virtual clock.
+
+They cover leaves that depart, faults of the agents, and violations planted for the auditor to find.
 """
 
 import concurrent.futures
@@ -14,33 +15,35 @@
 from mothnotch.badday import script as scripts
 from mothnotch.standins.consul import Told
 
-SEEDS = 40
-T = scripts.TroubleScript
+SEED_COUNT = 40
+make_trouble = scripts.TroubleScript
 
 
-def one(seed):
+def run_random_day(seed):
     record = play.play_virtual(scripts.drawn_departures(seed), seed)
-    late = [d for d in departures(record) if d[3] > 0.25]
+    late_departures = [departure for departure in departures(record) if departure[3] > 0.25]
     return (
         seed,
         len(departures(record)),
-        late,
-        [(v.rule, v.breaches[:3]) for v in judge(record) if v.breaches],
+        late_departures,
+        [(verdict.rule, verdict.breaches[:3]) for verdict in judge(record) if verdict.breaches],
     )
 
 
-def test_departing_leaves_get_nothing_new_over_many_seeds():
+def test_departing_leaves_get_no_new_parts_over_many_seeds():
     with concurrent.futures.ProcessPoolExecutor(os.cpu_count()) as pool:
-        count = 0
-        for seed, told, late, broken in pool.map(one, [*range(SEEDS), 296], chunksize=4):
+        total = 0
+        for seed, departure_count, late, broken_rules in pool.map(
+            run_random_day, [*range(SEED_COUNT), 296], chunksize=4
+        ):
             assert (
-                not late and not broken
-            ), f"bin/mothnotch study departures --seed {seed} --days 1: {late} {broken}"
-            count += told
-    assert count > 2 * SEEDS
+                not late and not broken_rules
+            ), f"bin/mothnotch study departures --seed {seed} --days 1: {late} {broken_rules}"
+            total += departure_count
+    assert total > 2 * SEED_COUNT
 
 
-def day(troubles, **changes):
+def make_script(troubles, **changes):
     return msgspec.structs.replace(
         scripts.Script(4.0, 2, 8, scripts.Load(rate=30.0), consul=scripts.ConsulScript(3, 2, 2.0)),
         troubles=list(troubles),
@@ -48,36 +51,39 @@
     )
 
 
-def test_auditor_catches_news_acted_on_late_and_drains_ignored():
-    troubles = [T("depart", 1.0, 2.0, 1)]
-    sound = play.play_virtual(day(troubles), 5)
+def test_auditor_reports_late_updates_and_ignored_drains():
+    troubles = [make_trouble("depart", 1.0, 2.0, 1)]
+    sound_record = play.play_virtual(make_script(troubles), 5)
     assert (
-        not any(v.breaches for v in judge(sound)) and max(d[3] for d in departures(sound)) <= 0.25
+        not any(verdict.breaches for verdict in judge(sound_record))
+        and max(departure[3] for departure in departures(sound_record)) <= 0.25
     )
     for breach in ("late_news", "ignores_drains"):
-        planted = play.play_virtual(day(troubles, breach=breach), 5)
-        assert max(d[3] for d in departures(planted)) > 0.25, breach
-        assert [v for v in judge(planted) if v.rule.startswith("3")][0].breaches, breach
+        planted_record = play.play_virtual(make_script(troubles, breach=breach), 5)
+        assert max(departure[3] for departure in departures(planted_record)) > 0.25, breach
+        assert [verdict for verdict in judge(planted_record) if verdict.rule.startswith("3")][
+            0
+        ].breaches, breach
 
 
 @pytest.mark.parametrize("kind", scripts.CONSUL_KINDS)
-def test_every_trouble_of_the_catalogue_plays_alone_and_costs_no_answers(kind):
-    record = play.play_virtual(day([T(kind, 0.5, 2.0, 2, 5.0)], seconds=3.0), 3)
-    assert [v.breaches for v in judge(record)] == [[]] * 6
+def test_each_catalogue_fault_alone_breaks_no_rule_and_loses_no_answers(kind):
+    record = play.play_virtual(make_script([make_trouble(kind, 0.5, 2.0, 2, 5.0)], seconds=3.0), 3)
+    assert [verdict.breaches for verdict in judge(record)] == [[]] * 6
     ended = [
-        a
-        for a in record.asks
-        if a.final in ("answered", "refused", "failed") and a.sqlstate != "57014"
+        ask
+        for ask in record.asks
+        if ask.final in ("answered", "refused", "failed") and ask.sqlstate != "57014"
     ]
-    assert sum(a.final == "answered" for a in ended) >= 0.97 * len(ended) > 30
+    assert sum(ask.final == "answered" for ask in ended) >= 0.97 * len(ended) > 30
 
 
-def told(at, index, states, life=0, who="mothnotch/0", **options):
+def make_told(at_s, index, states, incarnation=0, user_agent="mothnotch/0", **options):
     return Told(
-        at,
+        at_s,
         "a",
-        who,
-        life,
+        user_agent,
+        incarnation,
         index,
         options.get("consistent", False),
         options.get("filtered", False),
@@ -85,23 +91,24 @@
     )
 
 
-def test_what_a_root_was_told_is_read_from_the_record_in_its_order():
-    four = dict.fromkeys("abcd", "up")
-    news = told_by_catalogue(
+def test_catalogue_changes_told_to_a_root_are_derived_from_the_record_in_order():
+    four_up = dict.fromkeys("abcd", "up")
+    changes = told_by_catalogue(
         [
-            told(1, 10, four),
-            told(2, 12, {**four, "a": "draining"}),
-            told(3, 11, four),  # an older one says nothing
-            told(4, 13, {}),
-            told(5, 14, {"a": "up"}, filtered=True),  # nor what names nobody
-            told(6, 15, {"a": "up", "b": "up"}),
-            told(7, 15, {"a": "up", "b": "up"}, consistent=True),
-            told(8, 2, {"a": "up"}, life=1),
-            told(9, 99, four),
-            told(10, 3, {}, life=1, who="somebody"),
+            make_told(1, 10, four_up),
+            make_told(2, 12, {**four_up, "a": "draining"}),
+            make_told(3, 11, four_up),  # an older answer is ignored
+            make_told(4, 13, {}),  # an empty answer removes no leaf
+            make_told(5, 14, {"a": "up"}, filtered=True),  # nor does a filtered one
+            # A mass departure counts once a consistent answer confirms it.
+            make_told(6, 15, {"a": "up", "b": "up"}),
+            make_told(7, 15, {"a": "up", "b": "up"}, consistent=True),
+            make_told(8, 2, {"a": "up"}, incarnation=1),
+            make_told(9, 99, four_up),
+            make_told(10, 3, {}, incarnation=1, user_agent="somebody"),
         ]
     )
-    assert [(at, leaf, state) for at, leaf, state, _ in news if at > 1] == [
+    assert [(at_s, leaf, state) for at_s, leaf, state, _ in changes if at_s > 1] == [
         (2, "a", "draining"),
         (5, "a", "up"),
         (7, "c", "removed"),
