--- a/tests/test_catalogue_parts.py
+++ b/tests/test_catalogue_parts.py
@@ -1,5 +1,7 @@
-"""The parts around the watch: answers as read, the HTTP client's bounds, the list on disk,
-withdrawn sends, py-consul.
+"""Tests of the parts around the watch of Consul.
+
+They cover parsing of answers, the limits of the HTTP client, the list cached on disk, parts
+withdrawn before they are sent, py-consul against the stand-in, and the configuration.
 """
 
 import contextlib
@@ -31,7 +33,7 @@
 HEADERS = {"x-consul-index": "7", "x-consul-knownleader": "true", "x-consul-lastcontact": "3"}
 
 
-def entry(**service):
+def make_health_entry(**service):
     return {
         "Node": {"Node": "n1", "Address": "10.0.0.1"},
         "Service": {"ID": "a", "Port": 5, **service},
@@ -39,16 +41,16 @@
     }
 
 
-def read(entries, headers=HEADERS, status=200):
+def parse(entries, headers=HEADERS, status=200):
     body = entries if isinstance(entries, bytes) else json.dumps(entries).encode()
     return api.parse_answer(status, headers, body, 0, 0)
 
 
-def test_answers_are_read_as_the_api_gives_them():
-    found = read(
+def test_answers_of_the_api_are_parsed():
+    answer = parse(
         [
-            entry(),
-            entry(
+            make_health_entry(),
+            make_health_entry(
                 ID="b",
                 Address="fd00::1",
                 Tags=["x"],
@@ -58,39 +60,43 @@
             ),
         ]
     )
-    one, two = found.instances
-    assert (one.name, one.address, one.tags, one.meta, one.weights) == (
+    first, second = answer.instances
+    assert (first.name, first.address, first.tags, first.meta, first.weights) == (
         "n1/a",
         "10.0.0.1:5",
         (),
         {},
         (1, 1),
     )
-    assert (two.address, two.tags, two.meta, two.weights, two.create_index) == (
+    assert (second.address, second.tags, second.meta, second.weights, second.create_index) == (
         "[fd00::1]:5",
         ("x",),
         {"k": "v"},
         (3, 0),
         9,
     )
-    assert (found.index, found.last_contact_ms, found.is_stale, found.filtered) == (
+    assert (answer.index, answer.last_contact_ms, answer.is_stale, answer.filtered) == (
         7,
         3.0,
         False,
         False,
     )
-    assert read([], {**HEADERS, "x-consul-knownleader": "false"}).is_stale
-    assert read([], {**HEADERS, "x-consul-results-filtered-by-acls": "true"}).filtered
-    catalog = api.parse_catalog_entry(
+    assert parse([], {**HEADERS, "x-consul-knownleader": "false"}).is_stale
+    assert parse([], {**HEADERS, "x-consul-results-filtered-by-acls": "true"}).filtered
+    catalog_instance = api.parse_catalog_entry(
         b'{"Node": "n1", "Address": "10.0.0.1", "ServiceID": "a", "ServicePort": 5}'
     )
-    assert (catalog.name, catalog.address) == ("n1/a", "10.0.0.1:5")
+    assert (catalog_instance.name, catalog_instance.address) == ("n1/a", "10.0.0.1:5")
 
 
-def test_entry_that_cannot_be_read_costs_itself_alone_and_is_named():
-    found = read([entry(), {"Node": 1}, entry(ID="b", Meta={"k": 5}), None])
-    assert [x.name for x in found.instances] == ["n1/a"] and len(found.parse_errors) == 3
-    assert found.parse_errors[0].startswith("entry 1:")
+def test_invalid_entry_is_reported_and_does_not_affect_the_others():
+    answer = parse(
+        [make_health_entry(), {"Node": 1}, make_health_entry(ID="b", Meta={"k": 5}), None]
+    )
+    assert [instance.name for instance in answer.instances] == ["n1/a"] and len(
+        answer.parse_errors
+    ) == 3
+    assert answer.parse_errors[0].startswith("entry 1:")
 
 
 @pytest.mark.parametrize(
@@ -108,13 +114,13 @@
         (b"slow down", {"retry-after": "soon"}, 429),
     ],
 )
-def test_answers_that_cannot_be_used_say_why(body, headers, status):
+def test_invalid_answer_raises_an_error_with_a_reason(body, headers, status):
     with pytest.raises(api.BadAnswerError) as caught:
-        read(body, headers, status)
+        parse(body, headers, status)
     assert str(caught.value) and caught.value.retry_after_s == 0
 
 
-def test_targets():
+def test_request_targets_are_encoded():
     assert api.request_target("/p") == "/p" and api.request_target("/p", mode="stale") == "/p?stale"
     assert api.request_target("/p", 7, 2.5, "stale", dc="d", ns=None, filter='a == "b"') == (
         "/p?stale&index=7&wait=2500ms&dc=d&filter=a+%3D%3D+%22b%22"
@@ -122,8 +128,8 @@
     assert api.health_path("a/b c") == "/v1/health/service/a%2Fb%20c"
 
 
-def served(data, close=True):
-    """What the client makes of a server that says `data` to the first request."""
+def request_from(response, close_after=True):
+    """Return what the client gets from a server that sends `response` to the first request."""
 
     async def main():
         network = MemoryNetwork()
@@ -132,8 +138,8 @@
         async def server():
             stream = await listener.accept()
             await stream.receive_some()
-            await stream.send_all(data)
-            if close:
+            await stream.send_all(response)
+            if close_after:
                 stream.close()
             else:
                 await trio.sleep_forever()
@@ -151,12 +157,12 @@
     return trio.run(main)
 
 
-def test_client_reads_chunked_answers_and_answers_without_length():
-    assert served(
+def test_client_reads_chunked_responses_and_responses_without_length():
+    assert request_from(
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX-A: b\r\n\r\n3\r\nabc\r\n0\r\n\r\n",
         False,
     ) == (200, {"transfer-encoding": "chunked", "x-a": "b"}, b"abc")
-    assert served(b"HTTP/1.1 200 OK\r\n\r\nabc")[2] == b"abc"
+    assert request_from(b"HTTP/1.1 200 OK\r\n\r\nabc")[2] == b"abc"
 
 
 @pytest.mark.parametrize(
@@ -171,108 +177,113 @@
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\n",
     ],
 )
-def test_client_names_what_is_no_answer_and_holds_no_more_than_its_limit(data):
+def test_client_rejects_invalid_and_oversized_responses(data):
     with pytest.raises((AgentError, ExceptionGroup)) as caught:
-        served(data)
+        request_from(data)
     assert isinstance(caught.value, AgentError) or caught.group_contains(AgentError)
 
 
 @pytest.mark.parametrize("seed", range(40))
-def test_client_survives_noise(seed):
-    r = random.Random(seed)
-    sound = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Consul-Index: 4\r\n\r\nabc"
-    data = bytearray(sound)
-    for _ in range(r.randint(1, 6)):
-        data[r.randrange(len(data))] = r.randrange(256)
+def test_client_survives_corrupted_responses(seed):
+    rng = random.Random(seed)
+    valid_response = b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\nX-Consul-Index: 4\r\n\r\nabc"
+    data = bytearray(valid_response)
+    for _ in range(rng.randint(1, 6)):
+        data[rng.randrange(len(data))] = rng.randrange(256)
     with contextlib.suppress(AgentError, ExceptionGroup, trio.TooSlowError):
-        status, _, body = served(bytes(data[: r.randint(1, len(data))]))
+        status, _, body = request_from(bytes(data[: rng.randint(1, len(data))]))
         assert 100 <= status <= 999 and len(body) <= 1000
 
 
-# ---- the list on disk ----
+# ---- the list cached on disk ----
 
-LEAVES = [
-    CachedLeaf(f"n{k}/a", f"10.0.0.{k}:5432", "z", k, "up", 1.0, None if k else 1.8e9)
-    for k in range(8)
+CACHED_LEAVES = [
+    CachedLeaf(
+        f"n{number}/a", f"10.0.0.{number}:5432", "z", number, "up", 1.0, None if number else 1.8e9
+    )
+    for number in range(8)
 ]
 
 
-def test_list_comes_back_whole_and_the_newest_first(tmp_path):
+def test_newest_saved_list_is_loaded_intact(tmp_path):
     store = EndpointCache(tmp_path / "l.db", "stock")
     assert store.load() == (None, 0, 0.0, "")
-    for k in range(5):
-        store.save(LEAVES[: k + 1], 10 + k, 100.0 - k)  # the wall clock goes back meanwhile
-    leaves, index, saved, wrong = store.load()
-    assert (leaves, index, saved, wrong) == (LEAVES[:5], 14, 96.0, "")
+    for number in range(5):
+        # The wall clock is set back between the saves.
+        store.save(CACHED_LEAVES[: number + 1], 10 + number, 100.0 - number)
+    leaves, index, saved_s, problem = store.load()
+    assert (leaves, index, saved_s, problem) == (CACHED_LEAVES[:5], 14, 96.0, "")
     assert EndpointCache(tmp_path / "l.db", "other").load()[0] is None
 
 
-def test_damaged_newest_list_leaves_the_one_before(tmp_path):
+def test_previous_list_is_loaded_if_the_newest_is_damaged(tmp_path):
     store = EndpointCache(tmp_path / "l.db", "stock")
-    store.save(LEAVES[:4], 1, 1.0)
-    store.save(LEAVES, 2, 2.0)
-    with contextlib.closing(sqlite3.connect(store.path)) as db, db:
-        db.execute("UPDATE lists SET body = ? WHERE at = 2", (b'[{"name": "evil"}]',))
-    leaves, index, _, wrong = store.load()
-    assert (leaves, index) == (LEAVES[:4], 1) and "checksum" in wrong
+    store.save(CACHED_LEAVES[:4], 1, 1.0)
+    store.save(CACHED_LEAVES, 2, 2.0)
+    with contextlib.closing(sqlite3.connect(store.path)) as database, database:
+        database.execute("UPDATE lists SET body = ? WHERE at = 2", (b'[{"name": "evil"}]',))
+    leaves, index, _, problem = store.load()
+    assert (leaves, index) == (CACHED_LEAVES[:4], 1) and "checksum" in problem
 
 
-def test_any_damage_to_the_file_gives_a_whole_list_or_none_and_never_stops_a_start(tmp_path):
-    r = random.Random(1)
-    whole = {}
+def test_damaged_file_yields_an_intact_list_or_none_and_can_be_saved_to_again(tmp_path):
+    rng = random.Random(1)
+    saved_lists = {}
     store = EndpointCache(tmp_path / "l.db", "stock")
-    for k in (4, 8):
-        store.save(LEAVES[:k], k, float(k))
-        whole[k] = LEAVES[:k]
-    sound, aside = (tmp_path / "l.db").read_bytes(), 0
+    for count in (4, 8):
+        store.save(CACHED_LEAVES[:count], count, float(count))
+        saved_lists[count] = CACHED_LEAVES[:count]
+    intact_bytes, renamed_count = (tmp_path / "l.db").read_bytes(), 0
     for _ in range(300):
-        data = bytearray(sound[: r.randrange(len(sound))] if r.random() < 0.4 else sound)
-        for _ in range(r.choice([0, 1, 8, 64])):
+        data = bytearray(
+            intact_bytes[: rng.randrange(len(intact_bytes))] if rng.random() < 0.4 else intact_bytes
+        )
+        for _ in range(rng.choice([0, 1, 8, 64])):
             if data:
-                data[r.randrange(len(data))] ^= 1 << r.randrange(8)
+                data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
         (tmp_path / "l.db").write_bytes(data)
         leaves, index, _, _ = store.load()
-        assert leaves is None or leaves == whole[index]
-        aside += os.path.exists(store.path + ".broken")
+        assert leaves is None or leaves == saved_lists[index]
+        renamed_count += os.path.exists(store.path + ".broken")
         with contextlib.suppress(FileNotFoundError):
             os.remove(store.path + ".broken")
-        with contextlib.suppress(OSError):  # the first save after may still find the damage
-            store.save(LEAVES, 9, 9.0)
-        store.save(LEAVES, 9, 9.0)
+        with contextlib.suppress(OSError):  # the first save may still hit the damage
+            store.save(CACHED_LEAVES, 9, 9.0)
+        store.save(CACHED_LEAVES, 9, 9.0)
         assert store.load()[1] == 9
-    assert aside > 20
+    assert renamed_count > 20
 
 
-def test_list_that_cannot_be_put_down_is_an_os_error(tmp_path):
+def test_list_that_cannot_be_saved_raises_os_error(tmp_path):
     with pytest.raises(OSError):
-        EndpointCache(tmp_path / "missing" / "l.db", "stock").save(LEAVES, 1, 1.0)
+        EndpointCache(tmp_path / "missing" / "l.db", "stock").save(CACHED_LEAVES, 1, 1.0)
 
 
-# ---- sends that have not gone out ----
+# ---- parts that have not been sent ----
 
 
-def test_send_that_no_byte_of_has_left_is_withdrawn_when_its_leaf_departs():
+def test_unsent_part_is_withdrawn_when_its_leaf_departs():
     async def test(world):
-        c = await world.client()
-        assert (await c.query("SELECT count(*) FROM stock")).error is None
+        client = await world.client()
+        assert (await client.query("SELECT count(*) FROM stock")).error is None
         pool = world.root.leaves
         blocked = [
-            conn.stream
+            connection.stream
             for leaf in pool.leaves.values()
-            for conn in leaf.idle
+            for connection in leaf.idle
             if leaf.name == "leaf-2"
         ]
         assert blocked
-        for stream in blocked:  # the peer's window is full: nothing leaves
+        for stream in blocked:  # the peer's window is full: nothing is sent
             stream.limit, stream.kept = 0, stream.limit
-        before = len(world.arrived("stock"))
+        count_before = len(world.arrived("stock"))
         async with trio.open_nursery() as nursery:
             replies = []
 
-            async def ask():
-                replies.append(await c.query("SELECT count(*) FROM stock"))
+            async def send_query():
+                replies.append(await client.query("SELECT count(*) FROM stock"))
 
-            nursery.start_soon(ask)
+            nursery.start_soon(send_query)
             await trio.sleep(0.005)
             world.fleet.states["leaf-2"] = "draining"
             world.tell()
@@ -281,12 +292,14 @@
                 stream.limit = stream.kept
                 stream.peer._wake()
         assert replies[0].error is None
-        assert not [s for s in world.arrived("stock")[before:] if s.leaf == "leaf-2"]
+        assert not [
+            arrival for arrival in world.arrived("stock")[count_before:] if arrival.leaf == "leaf-2"
+        ]
 
     play(test)
 
 
-# ---- a client nobody here wrote ----
+# ---- a third-party client ----
 
 
 @contextlib.contextmanager
@@ -305,21 +318,21 @@
             state["address"] = agent.address
             ready.set()
 
-    worker = threading.Thread(target=trio.run, args=(main,), daemon=True)
-    worker.start()
+    thread = threading.Thread(target=trio.run, args=(main,), daemon=True)
+    thread.start()
     assert ready.wait(10)
     try:
         yield state["address"].split(":")
     finally:
         state["token"].run_sync_soon(state["scope"].cancel)
-        worker.join(10)
+        thread.join(10)
 
 
-def test_py_consul_works_against_the_stand_in():
+def test_py_consul_works_with_the_stand_in():
     with agent_in_a_thread() as (host, port):
-        c = consul.Consul(host=host, port=int(port))
-        assert c.status.leader()
-        assert c.agent.service.register(
+        client = consul.Consul(host=host, port=int(port))
+        assert client.status.leader()
+        assert client.agent.service.register(
             "web",
             service_id="web-1",
             address="127.0.0.1",
@@ -328,49 +341,55 @@
             meta={"cell": "1"},
             check=consul.Check.ttl("1s"),
         )
-        assert c.agent.services()["web-1"]["Port"] == 80
-        index, (found,) = c.health.service("web")
-        assert {x["Status"] for x in found["Checks"]} == {"critical"} and found["Service"][
+        assert client.agent.services()["web-1"]["Port"] == 80
+        index, (entry,) = client.health.service("web")
+        assert {check["Status"] for check in entry["Checks"]} == {"critical"} and entry["Service"][
             "Tags"
         ] == ["a"]
-        assert c.health.service("web", passing=True)[1] == []
-        assert c.agent.check.ttl_pass("service:web-1")
-        index, (found,) = c.health.service("web", passing=True)
-        # A blocking query that nothing happens to ends with its wait, index unchanged; one that
-        # something does, at once.
-        assert c.health.service("web", index=index, wait="100ms")[0] == index
+        assert client.health.service("web", passing=True)[1] == []
+        assert client.agent.check.ttl_pass("service:web-1")
+        index, (entry,) = client.health.service("web", passing=True)
+        # A blocking query without a change ends with its wait and the same index; with a change, it
+        # ends at once.
+        assert client.health.service("web", index=index, wait="100ms")[0] == index
         timer = threading.Timer(
-            0.2, lambda: c.agent.service.maintenance("web-1", True, reason="moving")
+            0.2, lambda: client.agent.service.maintenance("web-1", True, reason="moving")
         )
         timer.start()
-        later, (found,) = c.health.service("web", index=index, wait="10s")
+        later, (entry,) = client.health.service("web", index=index, wait="10s")
         assert later > index and any(
-            x["CheckID"] == "_service_maintenance:web-1" for x in found["Checks"]
+            check["CheckID"] == "_service_maintenance:web-1" for check in entry["Checks"]
         )
         timer.join()
-        c.agent.service.maintenance("web-1", False)
-        while c.health.service("web", passing=True)[1]:  # its beat stops: the check runs out
-            index, _ = c.health.service("web", index=c.health.service("web")[0], wait="3s")
-        assert c.catalog.register(
+        client.agent.service.maintenance("web-1", False)
+        while client.health.service("web", passing=True)[1]:  # without heartbeats the check expires
+            index, _ = client.health.service(
+                "web", index=client.health.service("web")[0], wait="3s"
+            )
+        assert client.catalog.register(
             "db-1", "127.0.0.9", service={"Service": "db", "ID": "db", "Port": 5432}
         )
-        assert set(c.catalog.services()[1]) == {"web", "db"}
-        assert c.catalog.service("db")[1][0]["ServicePort"] == 5432
-        assert {n["Node"] for n in c.catalog.nodes()[1]} == {"agent-0", "db-1"}
-        assert c.health.node("agent-0")[1][0]["CheckID"] == "service:web-1"
-        assert c.health.state("critical")[1] and c.health.checks("web")[1]
-        assert c.catalog.deregister("db-1") and c.agent.service.deregister("web-1")
-        assert c.catalog.services()[1] == {}
-        assert not c.agent.check.ttl_pass("service:web-1")  # 404: this client gives False
-
-
-def test_stand_in_filters_and_durations():
-    entries = [entry(Tags=["a"], Meta={"env": "prod"}), entry(ID="b", Tags=[], Meta={})]
+        assert set(client.catalog.services()[1]) == {"web", "db"}
+        assert client.catalog.service("db")[1][0]["ServicePort"] == 5432
+        assert {node["Node"] for node in client.catalog.nodes()[1]} == {"agent-0", "db-1"}
+        assert client.health.node("agent-0")[1][0]["CheckID"] == "service:web-1"
+        assert client.health.state("critical")[1] and client.health.checks("web")[1]
+        assert client.catalog.deregister("db-1") and client.agent.service.deregister("web-1")
+        assert client.catalog.services()[1] == {}
+        # py-consul returns False for status 404.
+        assert not client.agent.check.ttl_pass("service:web-1")
+
+
+def test_stand_in_parses_filters_and_durations():
+    entries = [
+        make_health_entry(Tags=["a"], Meta={"env": "prod"}),
+        make_health_entry(ID="b", Tags=[], Meta={}),
+    ]
     assert len(filtered(entries, 'Service.Meta.env == "prod" and "a" in Service.Tags')) == 1
     assert filtered(entries, '"a" not in Service.Tags')[0]["Service"]["ID"] == "b"
     with pytest.raises(InvalidRequestError):
         filtered(entries, "Service.ID matches a or b")
-    assert [duration(x) for x in ("5s", "100ms", "1m30s", "7")] == [5, 0.1, 90, 7]
+    assert [duration(text) for text in ("5s", "100ms", "1m30s", "7")] == [5, 0.1, 90, 7]
     with pytest.raises(InvalidRequestError):
         duration("soon")
 
@@ -379,7 +398,7 @@
 
 
 @pytest.mark.parametrize(
-    "section, where",
+    "section, path",
     [
         ({"agents": []}, "consul.agents"),
         ({"agents": ["https://a:8501"]}, "consul.agents[0]"),
@@ -393,13 +412,13 @@
         ({"register": {"service": "s"}}, "consul.register.service"),
     ],
 )
-def test_consul_section_is_checked(section, where):
+def test_invalid_consul_section_is_rejected(section, path):
     with pytest.raises(ValueError) as caught:
         demo.config(roster=None, consul={"agents": ["127.0.0.1:1"], "service": "s", **section})
-    assert f": {where}: " in str(caught.value)
+    assert f": {path}: " in str(caught.value)
 
 
-def test_roster_or_consul_and_not_both():
+def test_exactly_one_of_roster_and_consul_is_required():
     with pytest.raises(ValueError, match="state either roster"):
         demo.config(consul={"agents": ["127.0.0.1:1"], "service": "s"})
     with pytest.raises(ValueError, match="state either roster"):
