--- a/mothnotch/decisions/balancer/attempt_results.py
+++ b/mothnotch/decisions/balancer/attempt_results.py
@@ -59,7 +59,7 @@
             self._complete(attempt)
         elif server_died and not part.in_flight and not query.answered_weight:
             part.is_held = True
-            self._retries.release_held(query)
+            self._retries.release_held_parts(query)
         elif not part.in_flight:
             self._retry(part, result, was_idle_reset)
 
@@ -94,7 +94,7 @@
         self._quarantine.clear(query.key)
         self._answers.cancel(part)
         self._answers.resolve(query)
-        self._retries.release_held(query)
+        self._retries.release_held_parts(query)
 
     def _retry(self, part: Part, result: Result, was_idle_reset: bool):
         # An attempt that reached no server caused no work: the next replica is tried without
--- a/mothnotch/decisions/balancer/discovery.py
+++ b/mothnotch/decisions/balancer/discovery.py
@@ -20,7 +20,7 @@
 
 # Servers that are no longer listed are remembered, as they may come back. If server names are never
 # reused, memory would grow without this bound.
-UNLISTED_SERVERS = 64
+UNLISTED_SERVERS_MAX = 64
 
 
 class Discovery:
@@ -97,5 +97,5 @@
         unlisted = [
             server for server in self.servers.values() if not server.up and not server.in_flight
         ]
-        for server in unlisted[:-UNLISTED_SERVERS]:
+        for server in unlisted[:-UNLISTED_SERVERS_MAX]:
             del self.servers[server.id]
--- a/mothnotch/decisions/balancer/predictor.py
+++ b/mothnotch/decisions/balancer/predictor.py
@@ -21,7 +21,7 @@
 
 LEARNING_RATE = 0.3
 RELEARNING_PASSES = 12  # passes over all samples, one per turn
-SAMPLES = 400  # labelled answers kept for relearning
+SAMPLES_MAX = 400  # labelled answers kept for relearning
 ACCURACY_ANSWERS_MIN = 6  # labelled answers that a server needs for its accuracy to count
 ACCURACY_MIN = 0.8  # a new model is learned below this accuracy
 LOGIT_MAX = 30.0  # keeps exp() from overflowing
@@ -86,7 +86,7 @@
         self.model = None
         self.next_model = None  # the model that is being learned
         self.passes_left = 0
-        self.samples = deque(maxlen=SAMPLES)  # (inputs, label)
+        self.samples = deque(maxlen=SAMPLES_MAX)  # (inputs, label)
         self.accuracy_counts = {}  # server -> (correct, labelled) since the last check
         self._rng = rng
 
--- a/mothnotch/decisions/balancer/retries.py
+++ b/mothnotch/decisions/balancer/retries.py
@@ -54,7 +54,7 @@
         else:
             self._answers.mark_lost(part)
 
-    def release_held(self, query: Query) -> None:
+    def release_held_parts(self, query: Query) -> None:
         """Retry the held parts of a query once it is safe to do so, or mark them as lost.
 
         This protects servers against queries that crash them: a part whose server died is held
--- a/mothnotch/decisions/balancer/retry_limits.py
+++ b/mothnotch/decisions/balancer/retry_limits.py
@@ -17,7 +17,7 @@
 HEDGE_RESERVE = 0.4
 MOVE_RESERVE_TOKENS = 1
 
-ROUNDING = 1e-4  # allows for rounding errors in sums of tokens
+TOKEN_TOLERANCE = 1e-4  # allows for rounding errors in sums of tokens
 
 
 class RetryLimits:
@@ -76,4 +76,4 @@
         window_us = part.query.query_class.retry_window_us
         if now_us > first_run_us + window_us - self._tick_us:
             return False
-        return not self.has_budget or self.remaining(now_us) >= 1 + ROUNDING
+        return not self.has_budget or self.remaining(now_us) >= 1 + TOKEN_TOLERANCE
--- a/mothnotch/decisions/balancer/sending.py
+++ b/mothnotch/decisions/balancer/sending.py
@@ -115,8 +115,8 @@
         """
         age_us = self._turn.now_us - self._idle_losses.last_outcome_us
         loss_rate = self._idle_losses.share * (1 - age_us / IDLE_LOSS_DECAY_US)
-        is_unsafe = part.query.query_class.idempotency is Idempotency.NOT_IDEMPOTENT
-        if server.idle_us >= IDLE_US and (loss_rate > OUTLIER_FAILURE_RATE or is_unsafe):
+        is_not_repeatable = part.query.query_class.idempotency is Idempotency.NOT_IDEMPOTENT
+        if server.idle_us >= IDLE_US and (loss_rate > OUTLIER_FAILURE_RATE or is_not_repeatable):
             self._turn.emit(Disconnect(server.id))
             server.idle_us = 0
 
