--- a/mothnotch/decisions/fleet/divergence.py
+++ b/mothnotch/decisions/fleet/divergence.py
@@ -16,49 +16,52 @@
     incarnations = {}
     for view in views:
         incarnations.setdefault(view.name, []).append(view.incarnation)
-    out = [
-        f"{len(found)} roots use the name {name}"
-        for name, found in sorted(incarnations.items())
-        if len(found) > 1
+    lines = [
+        f"{len(seen)} roots use the name {name}"
+        for name, seen in sorted(incarnations.items())
+        if len(seen) > 1
     ]
-    newest = {name: max(found) for name, found in incarnations.items()}
+    newest_incarnations = {name: max(seen) for name, seen in incarnations.items()}
     for view in sorted(views, key=lambda view: (view.name, view.incarnation)):
-        out += _wrong_entries(view, newest)
-    return out + _disagreements_on_unresponsive(views, newest)
+        lines += _wrong_entries(view, newest_incarnations)
+    return lines + _disagreements_on_unresponsive(views, newest_incarnations)
 
 
-def _wrong_entries(view, newest: dict[str, tuple[int, int]]) -> list[str]:
+def _wrong_entries(view, newest_incarnations: dict[str, tuple[int, int]]) -> list[str]:
     """Return where a view is wrong about roots that answered."""
-    out = []
-    held = {peer.name: peer for peer in view.peers}
-    for name, incarnation in sorted(newest.items()):
+    lines = []
+    peers_by_name = {peer.name: peer for peer in view.peers}
+    for name, incarnation in sorted(newest_incarnations.items()):
         if name == view.name:
             continue
-        peer = held.get(name)
+        peer = peers_by_name.get(name)
         if peer is None:
-            out.append(f"{view.name} has no entry for {name}, which answers")
+            lines.append(f"{view.name} has no entry for {name}, which answers")
         elif peer.incarnation != incarnation:
-            out.append(
+            lines.append(
                 f"{view.name} believes that {name} is in incarnation {peer.incarnation[0]}, "
                 f"but it is in {incarnation[0]}"
             )
         elif peer.state != ALIVE:
-            out.append(f"{view.name} believes that {name} is {peer.state}, but it answers")
-    return out
+            lines.append(f"{view.name} believes that {name} is {peer.state}, but it answers")
+    return lines
 
 
-def _disagreements_on_unresponsive(views: list, newest: dict[str, tuple[int, int]]) -> list[str]:
+def _disagreements_on_unresponsive(
+    views: list, newest_incarnations: dict[str, tuple[int, int]]
+) -> list[str]:
     """Return where views differ on roots that did not answer and whose true state is unknown."""
-    out = []
-    silent = {peer.name for view in views for peer in view.peers} - set(newest)
-    for name in sorted(silent):
-        said = {
+    lines = []
+    unresponsive = {peer.name for view in views for peer in view.peers} - set(newest_incarnations)
+    for name in sorted(unresponsive):
+        state_by_viewer = {
             view.name: next((peer.state for peer in view.peers if peer.name == name), "unknown")
             for view in views
         }
-        if len(set(said.values())) > 1:
-            each = ", ".join(
-                f"{who} believes that it is {state}" for who, state in sorted(said.items())
+        if len(set(state_by_viewer.values())) > 1:
+            beliefs = ", ".join(
+                f"{viewer} believes that it is {state}"
+                for viewer, state in sorted(state_by_viewer.items())
             )
-            out.append(f"{name} does not answer: {each}")
-    return out
+            lines.append(f"{name} does not answer: {beliefs}")
+    return lines
--- a/mothnotch/decisions/fleet/failure_detector.py
+++ b/mothnotch/decisions/fleet/failure_detector.py
@@ -106,11 +106,11 @@
 
     def due_times_us(self) -> list[float]:
         """Return the times of the next timeouts of the probe and of relayed pings."""
-        found = [relay.deadline_us for relay in self._relays.values()]
+        times_us = [relay.deadline_us for relay in self._relays.values()]
         probe = self.probe
         if probe is not None and not probe.is_acked:
-            found.append(probe.ack_due_us if probe.helpers is None else probe.deadline_us)
-        return found
+            times_us.append(probe.ack_due_us if probe.helpers is None else probe.deadline_us)
+        return times_us
 
     def next_number(self) -> int:
         """Return a new number for a message that expects an answer."""
@@ -186,9 +186,9 @@
 
     def _request_indirect_probes(self, now_us: int, target_address: str, out: list[Send]) -> None:
         probe = self.probe
-        others = [name for name in self._membership.in_state(ALIVE) if name != probe.name]
-        count = min(self.settings.indirect_probes, len(others))
-        probe.helpers = self._random.sample(others, count)
+        candidates = [name for name in self._membership.in_state(ALIVE) if name != probe.name]
+        count = min(self.settings.indirect_probes, len(candidates))
+        probe.helpers = self._random.sample(candidates, count)
         for name in probe.helpers:
             address = self._membership.members[name].claim.address
             out.append(
@@ -201,14 +201,14 @@
         """Record a failed probe and suspect the member, unless this root is recovering."""
         self._counts["failed"] += 1
         self._record_outcome(False)
-        mute = len(probe.helpers) - len(probe.nacks)
-        self._health.increase_score(mute if probe.helpers else 1)
+        missing_nacks = len(probe.helpers) - len(probe.nacks)
+        self._health.increase_score(missing_nacks if probe.helpers else 1)
         if not self._health.is_recovering:
             claim = member.claim.with_state(SUSPECT)
             self._membership.suspect(claim, self._membership.name, now_us)
 
-    def _record_outcome(self, answered: bool) -> None:
-        if self._health.record_outcome(answered):
+    def _record_outcome(self, acked: bool) -> None:
+        if self._health.record_outcome(acked):
             kind = ChangeKind.ISOLATED if self._health.is_isolated else ChangeKind.REJOINED
             self._changes.append(MembershipChange(kind, self._membership.name))
 
@@ -237,14 +237,14 @@
             and probe.name in (sender, message.target)
         ):
             probe.is_acked = True
-            self._on_probe_answered(probe.name, sender, now_us)
+            self._on_probe_acked(probe.name, sender, now_us)
 
-    def _on_probe_answered(self, name: str, sender: str, now_us: int) -> None:
+    def _on_probe_acked(self, name: str, acker: str, now_us: int) -> None:
         member = self._membership.members.get(name)
-        if member is not None and sender == name:
+        if member is not None and acker == name:
             member.is_direct = True
         self._record_outcome(True)
-        if member is not None and sender != name and member.claim.state == SUSPECT:
+        if member is not None and acker != name and member.claim.state == SUSPECT:
             # A helper reaches the suspect, so its refutation should arrive soon.
             member.state_deadline_us = max(
                 member.state_deadline_us, now_us + self._membership.min_suspicion_timeout_us()
--- a/mothnotch/decisions/fleet/gossip_protocol.py
+++ b/mothnotch/decisions/fleet/gossip_protocol.py
@@ -96,24 +96,24 @@
             facts = envelope.facts[: self.settings.max_facts]
             incarnation_of = self.swim.membership.incarnation_of
             self.store.receive(facts, transit_us, now_us, incarnation_of)
-        room_bytes = self.settings.fact_bytes
+        max_bytes = self.settings.fact_bytes
         if envelope.digest:
             digest = envelope.digest[: self.settings.max_digest_entries]
-            found, wanted = self.store.reconcile(digest, room_bytes, now_us)
-            if found or wanted:
-                out.append(self._gossip(sender.name, now_us, facts=found, wanted=wanted))
+            facts_found, wanted = self.store.reconcile(digest, max_bytes, now_us)
+            if facts_found or wanted:
+                out.append(self._gossip(sender.name, now_us, facts=facts_found, wanted=wanted))
         if envelope.wanted:
             wanted = envelope.wanted[: self.settings.max_digest_entries]
-            found, _ = self.store.reconcile(wanted, room_bytes, now_us)
-            if found:
-                out.append(self._gossip(sender.name, now_us, facts=found))
+            facts_found, _ = self.store.reconcile(wanted, max_bytes, now_us)
+            if facts_found:
+                out.append(self._gossip(sender.name, now_us, facts=facts_found))
         return out
 
-    def _gossip(self, name: str, now_us: int, **more) -> SendEnvelope:
+    def _gossip(self, name: str, now_us: int, **content) -> SendEnvelope:
         """Return an envelope that carries facts or a digest to a member outside of any probe."""
         address = self.swim.membership.members[name].claim.address
         send = self.swim.builder.build(now_us, address, GOSSIP, name, 0)
-        return SendEnvelope(send.address, Envelope(send.message, **more))
+        return SendEnvelope(send.address, Envelope(send.message, **content))
 
     def _with_facts(self, sends: list[Send], now_us: int) -> list[SendEnvelope]:
         """Return envelopes of the membership's messages with queued facts.
@@ -178,11 +178,11 @@
         """
         membership = self.swim.membership
         sender = state.sender
-        known = membership.incarnation_of(sender.name)
+        newest = membership.incarnation_of(sender.name)
         if (
             sender.name == membership.name
             or sender.state != ALIVE
-            or (known is not None and sender.incarnation < known)
+            or (newest is not None and sender.incarnation < newest)
         ):
             self.counts["wholes_refused"] += 1
             return False
--- a/mothnotch/decisions/fleet/gossip_store.py
+++ b/mothnotch/decisions/fleet/gossip_store.py
@@ -68,7 +68,7 @@
         self.name = name
         self.settings = settings
         self.origins = {name: OriginFacts(incarnation)}
-        self.counts = {receipt.value: 0 for receipt in ReceiveOutcome}
+        self.counts = {outcome.value: 0 for outcome in ReceiveOutcome}
         # (origin, key) -> StoredFact that is still to be piggybacked; a subset of the stored ones.
         self.updates = {}
         self._digest_start = 0  # index of the first origin in the next digest's slice
@@ -88,15 +88,15 @@
         bounds = self.settings
         if len(value) > bounds.max_value_bytes or not self._is_valid_key(key):
             raise ValueError(
-                f"fact {key!r}: {len(value)} bytes, over {bounds.max_value_bytes}, "
-                f"or its key over {bounds.max_key_bytes}"
+                f"fact {key!r}: value of {len(value)} bytes exceeds {bounds.max_value_bytes}, "
+                f"or key length is not between 1 and {bounds.max_key_bytes}"
             )
         if not 0 < ttl_us <= bounds.max_ttl_us:
             raise ValueError(
-                f"fact {key!r}: holds for {ttl_us} us; 1 to {bounds.max_ttl_us} are allowed"
+                f"fact {key!r}: time to live of {ttl_us} us is outside 1 to {bounds.max_ttl_us} us"
             )
         if key not in self.own.by_key and len(self.own.by_key) >= bounds.max_keys:
-            raise ValueError(f"fact {key!r}: {bounds.max_keys} are stated already")
+            raise ValueError(f"fact {key!r}: {bounds.max_keys} keys are published already")
         fact = StoredFact(key, self.own.max_version + 1, bytes(value), 0, now_us, ttl_us)
         self.own.put(key, fact)
         self.updates[self.name, key] = fact
@@ -115,8 +115,12 @@
 
     def on_incarnation(self, origin: str, incarnation: tuple[int, int]) -> None:
         """Drop an origin's facts if they belong to an older incarnation than this one."""
-        held = self.origins.get(origin)
-        if held is not None and origin != self.name and held.incarnation < incarnation:
+        origin_facts = self.origins.get(origin)
+        if (
+            origin_facts is not None
+            and origin != self.name
+            and origin_facts.incarnation < incarnation
+        ):
             self.drop_origin(origin)
 
     def drop_origin(self, origin: str) -> None:
@@ -154,20 +158,20 @@
         age_us = fact.age_us + math.ceil(transit_us * (1 + self.settings.clock_drift))
         if age_us >= fact.ttl_us:
             return ReceiveOutcome.EXPIRED
-        held = self.origins.get(fact.origin)
+        origin_facts = self.origins.get(fact.origin)
         if newest is not None and fact.incarnation < newest:
             return ReceiveOutcome.OLD_INCARNATION
-        if held is not None and fact.incarnation < held.incarnation:
+        if origin_facts is not None and fact.incarnation < origin_facts.incarnation:
             return ReceiveOutcome.OLD_INCARNATION
-        if held is not None and fact.incarnation > held.incarnation:
+        if origin_facts is not None and fact.incarnation > origin_facts.incarnation:
             self.drop_origin(fact.origin)
-            held = None
-        if held is None:
+            origin_facts = None
+        if origin_facts is None:
             if len(self.origins) >= self.settings.max_origins:
                 return ReceiveOutcome.FULL
-            held = OriginFacts(fact.incarnation)
-            self.origins[fact.origin] = held
-        return self._store_fact(held, fact, age_us, now_us)
+            origin_facts = OriginFacts(fact.incarnation)
+            self.origins[fact.origin] = origin_facts
+        return self._store_fact(origin_facts, fact, age_us, now_us)
 
     def _is_valid(self, fact: Fact) -> bool:
         return bool(
@@ -192,10 +196,10 @@
         return ReceiveOutcome.UNPUBLISHED
 
     def _store_fact(
-        self, held: OriginFacts, fact: Fact, age_us: int, now_us: int
+        self, origin_facts: OriginFacts, fact: Fact, age_us: int, now_us: int
     ) -> ReceiveOutcome:
         """Store a fact unless its key already has the same or a newer version."""
-        stored = held.by_key.get(fact.key)
+        stored = origin_facts.by_key.get(fact.key)
         if stored is not None and fact.version < stored.version:
             return ReceiveOutcome.STALE
         if stored is not None and fact.version == stored.version:
@@ -203,10 +207,10 @@
                 stored.age_us = age_us
                 stored.age_as_of_us = now_us
             return ReceiveOutcome.DUPLICATE
-        if stored is None and len(held.by_key) >= self.settings.max_keys:
+        if stored is None and len(origin_facts.by_key) >= self.settings.max_keys:
             return ReceiveOutcome.FULL
         stored = StoredFact(fact.key, fact.version, fact.value, age_us, now_us, fact.ttl_us)
-        held.put(fact.key, stored)
+        origin_facts.put(fact.key, stored)
         self.updates[fact.origin, fact.key] = stored
         return ReceiveOutcome.ACCEPTED
 
@@ -224,25 +228,25 @@
         )
 
     def updates_to_piggyback(
-        self, room_bytes: int, cluster_size: int, now_us: int
+        self, max_bytes: int, cluster_size: int, now_us: int
     ) -> tuple[Fact, ...]:
-        """Return queued facts of at most `room_bytes` for one message, least transmitted first."""
+        """Return queued facts of at most `max_bytes` for one message, least transmitted first."""
         multiple = self.settings.retransmit_multiple
-        max_sends = max(1, math.ceil(multiple * math.log2(cluster_size + 1)))
-        found = []
+        max_transmissions = max(1, math.ceil(multiple * math.log2(cluster_size + 1)))
+        facts = []
         queued = sorted(self.updates.items(), key=lambda item: item[1].transmissions)
         for (origin, key), stored in queued:
             fact = self._to_fact(origin, key, stored, now_us)
             is_live = fact.age_us < fact.ttl_us
-            if is_live and fact.size > room_bytes:
+            if is_live and fact.size > max_bytes:
                 continue
             stored.transmissions += 1
-            if stored.transmissions >= max_sends or not is_live:
+            if stored.transmissions >= max_transmissions or not is_live:
                 del self.updates[origin, key]
             if is_live:
-                room_bytes -= fact.size
-                found.append(fact)
-        return tuple(found)
+                max_bytes -= fact.size
+                facts.append(fact)
+        return tuple(facts)
 
     def digest(self) -> tuple[DigestEntry, ...]:
         """Return entries for this root and for the next slice of other origins."""
@@ -255,50 +259,56 @@
         return tuple(self._digest_entry(name) for name in [self.name, *names])
 
     def _digest_entry(self, name: str) -> DigestEntry:
-        held = self.origins[name]
-        return DigestEntry(name, held.incarnation, held.max_version, held.checksum)
+        origin_facts = self.origins[name]
+        return DigestEntry(
+            name, origin_facts.incarnation, origin_facts.max_version, origin_facts.checksum
+        )
 
     def reconcile(
-        self, digest: Iterable[DigestEntry], room_bytes: int, now_us: int
+        self, digest: Iterable[DigestEntry], max_bytes: int, now_us: int
     ) -> tuple[tuple[Fact, ...], tuple[DigestEntry, ...]]:
         """Return facts that the sender of a digest lacks, and entries where this root lacks some.
 
-        The facts take at most `room_bytes`. The sender answers the entries with the facts that this
+        The facts take at most `max_bytes`. The sender answers the entries with the facts that this
         root lacks, so one exchange reconciles both sides as far as the sizes allow.
         """
-        found = []
+        facts = []
         wanted = []
         for theirs in digest:
-            held = self._facts_for_entry(theirs)
-            if held is None or held.incarnation < theirs.incarnation:
+            origin_facts = self._facts_for_entry(theirs)
+            if origin_facts is None or origin_facts.incarnation < theirs.incarnation:
                 if theirs.origin != self.name and theirs.max_version > 0:
                     wanted.append(DigestEntry(theirs.origin, theirs.incarnation, 0, 0))
                 continue
-            is_same = held.incarnation == theirs.incarnation
-            if is_same and held.checksum == theirs.checksum:
+            is_same_incarnation = origin_facts.incarnation == theirs.incarnation
+            if is_same_incarnation and origin_facts.checksum == theirs.checksum:
                 continue
-            if is_same and theirs.max_version >= held.max_version and theirs.origin != self.name:
+            if (
+                is_same_incarnation
+                and theirs.max_version >= origin_facts.max_version
+                and theirs.origin != self.name
+            ):
                 wanted.append(self._digest_entry(theirs.origin))
-            above = theirs.max_version if is_same else 0
-            for fact in self._facts_above(theirs.origin, above, now_us):
-                if fact.age_us < fact.ttl_us and fact.size <= room_bytes:
-                    room_bytes -= fact.size
-                    found.append(fact)
-        return tuple(found), tuple(wanted)
-
-    def _facts_for_entry(self, theirs: DigestEntry) -> OriginFacts | None:
+            above_version = theirs.max_version if is_same_incarnation else 0
+            for fact in self._facts_above(theirs.origin, above_version, now_us):
+                if fact.age_us < fact.ttl_us and fact.size <= max_bytes:
+                    max_bytes -= fact.size
+                    facts.append(fact)
+        return tuple(facts), tuple(wanted)
+
+    def _facts_for_entry(self, entry: DigestEntry) -> OriginFacts | None:
         """Return the facts of an entry's origin, empty if the entry has a newer incarnation."""
-        held = self.origins.get(theirs.origin)
+        origin_facts = self.origins.get(entry.origin)
         if (
-            held is not None
-            and held.incarnation < theirs.incarnation
-            and theirs.origin != self.name
+            origin_facts is not None
+            and origin_facts.incarnation < entry.incarnation
+            and entry.origin != self.name
         ):
             # The entry proves a newer incarnation, so facts of the old one are no longer valid.
-            self.drop_origin(theirs.origin)
-            held = OriginFacts(theirs.incarnation)
-            self.origins[theirs.origin] = held
-        return held
+            self.drop_origin(entry.origin)
+            origin_facts = OriginFacts(entry.incarnation)
+            self.origins[entry.origin] = origin_facts
+        return origin_facts
 
     def _facts_above(self, origin: str, version: int, now_us: int) -> Iterable[Fact]:
         """Yield an origin's facts above a version, then the others, which fill gaps below it."""
@@ -311,13 +321,13 @@
 
     def live_facts(self, now_us: int) -> tuple[Fact, ...]:
         """Return all facts that have not expired."""
-        found = []
-        for name, held in self.origins.items():
-            for key, stored in held.by_key.items():
+        facts = []
+        for name, origin_facts in self.origins.items():
+            for key, stored in origin_facts.by_key.items():
                 fact = self._to_fact(name, key, stored, now_us)
                 if fact.age_us < fact.ttl_us:
-                    found.append(fact)
-        return tuple(found)
+                    facts.append(fact)
+        return tuple(facts)
 
     # ---- reading ----
 
@@ -326,32 +336,36 @@
 
     def ages_us(self, origin: str, now_us: int) -> list[int]:
         """Return an upper bound on the age of each fact of an origin."""
-        held = self.origins.get(origin)
-        return [self._age_us(stored, now_us) for stored in held.by_key.values()] if held else []
+        origin_facts = self.origins.get(origin)
+        return (
+            [self._age_us(stored, now_us) for stored in origin_facts.by_key.values()]
+            if origin_facts
+            else []
+        )
 
     def expire(self, now_us: int) -> None:
         """Remove expired facts.
 
         This includes this root's own, which their publisher has to renew in time.
         """
-        for name, held in list(self.origins.items()):
-            for key, stored in list(held.by_key.items()):
+        for name, origin_facts in list(self.origins.items()):
+            for key, stored in list(origin_facts.by_key.items()):
                 if self._age_us(stored, now_us) >= stored.ttl_us:
-                    held.drop(key)
+                    origin_facts.drop(key)
                     self.updates.pop((name, key), None)
-            if not held.by_key and name != self.name:
+            if not origin_facts.by_key and name != self.name:
                 del self.origins[name]
 
     def known_facts(self, key: str, now_us: int) -> dict[str, KnownFact]:
         """Return the facts of a key that have not expired, by origin."""
-        found = {}
-        for name, held in self.origins.items():
-            stored = held.by_key.get(key)
+        facts_by_origin = {}
+        for name, origin_facts in self.origins.items():
+            stored = origin_facts.by_key.get(key)
             if stored is None:
                 continue
             age_us = self._age_us(stored, now_us)
             if age_us < stored.ttl_us:
-                found[name] = KnownFact(
-                    name, held.incarnation, stored.value, stored.version, age_us
+                facts_by_origin[name] = KnownFact(
+                    name, origin_facts.incarnation, stored.value, stored.version, age_us
                 )
-        return found
+        return facts_by_origin
--- a/mothnotch/decisions/fleet/local_health.py
+++ b/mothnotch/decisions/fleet/local_health.py
@@ -29,24 +29,24 @@
     def is_isolated(self) -> bool:
         """Return whether this root has members to probe and most of its latest probes failed."""
         count = len(self._outcomes)
-        lost = sum(not answered for answered in self._outcomes)
-        return count >= min(MIN_OUTCOMES, max(1, len(self._members))) and 2 * lost > count
+        failed = sum(not acked for acked in self._outcomes)
+        return count >= min(MIN_OUTCOMES, max(1, len(self._members))) and 2 * failed > count
 
-    def scale_timeout(self, span_us: float) -> float:
+    def scale_timeout(self, timeout_us: float) -> float:
         """Return a timeout multiplied by one plus the score."""
-        return span_us * (1 + self.score) if self.settings.local_health else span_us
+        return timeout_us * (1 + self.score) if self.settings.local_health else timeout_us
 
-    def increase_score(self, by: int = 1) -> None:
+    def increase_score(self, amount: int = 1) -> None:
         """Raise the score, which means worse health, up to `MAX_SCORE`."""
         if self.settings.local_health:
-            self.score = min(MAX_SCORE, self.score + by)
+            self.score = min(MAX_SCORE, self.score + amount)
 
-    def record_outcome(self, answered: bool) -> bool:
+    def record_outcome(self, acked: bool) -> bool:
         """Record the outcome of a probe; return whether that changed `is_isolated`."""
-        before = self.is_isolated
-        self._outcomes.append(answered)
-        if answered:
+        was_isolated = self.is_isolated
+        self._outcomes.append(acked)
+        if acked:
             self.is_recovering = False
             if self.settings.local_health:
                 self.score = max(0, self.score - 1)
-        return self.is_isolated != before
+        return self.is_isolated != was_isolated
--- a/mothnotch/decisions/fleet/membership.py
+++ b/mothnotch/decisions/fleet/membership.py
@@ -122,8 +122,8 @@
     def on_sender(self, message: Message, address: str, now_us: int) -> None:
         """Process the sender's own claim that it is alive at the address it sent from."""
         sender = message.sender
-        spoken = Claim(sender.name, sender.incarnation, sender.refutation, ALIVE, address)
-        self.apply_claim(spoken, now_us, direct=True)
+        claim = Claim(sender.name, sender.incarnation, sender.refutation, ALIVE, address)
+        self.apply_claim(claim, now_us, direct=True)
         member = self.members.get(sender.name)
         if member is not None and (member.stamp is None or message.stamp > member.stamp):
             # Only a stamp newer than all before is evidence of life: the network may duplicate an
@@ -132,8 +132,8 @@
             member.stamp = message.stamp
             member.stamp_received_us = now_us
 
-    def on_claim(self, claim: Claim, by: str, now_us: int) -> None:
-        """Process a claim that the root `by` sent about a third root, or about this one."""
+    def on_claim(self, claim: Claim, source: str, now_us: int) -> None:
+        """Process a claim that the root `source` sent about a third root, or about this one."""
         if claim.state not in STATES:
             self._counts["nonsense"] += 1
         elif claim.name == self.name:
@@ -144,7 +144,7 @@
         elif claim.state == SUSPECT or (
             claim.state == GONE and self._heard_recently(claim, now_us)
         ):
-            self.suspect(claim.with_state(SUSPECT), by, now_us)
+            self.suspect(claim.with_state(SUSPECT), source, now_us)
         else:
             self.apply_claim(claim, now_us)
 
@@ -157,8 +157,8 @@
         self._health.increase_score()
 
     def _set_own_claim(self, incarnation: tuple[int, int], refutation: int) -> None:
-        own = self.own_claim
-        self.own_claim = Claim(self.name, incarnation, refutation, ALIVE, own.address)
+        previous = self.own_claim
+        self.own_claim = Claim(self.name, incarnation, refutation, ALIVE, previous.address)
         self._updates.add(self.own_claim)
 
     def _heard_recently(self, claim: Claim, now_us: int) -> bool:
@@ -195,8 +195,8 @@
 
     # ---- suspicion ----
 
-    def suspect(self, claim: Claim, by: str, now_us: int) -> None:
-        """Process a suspicion from the root `by`; each further suspecting root shortens it."""
+    def suspect(self, claim: Claim, source: str, now_us: int) -> None:
+        """Process a suspicion from the root `source`; each further suspecting root shortens it."""
         member = self._current_member(claim)
         if member is None:
             self.apply_claim(claim, now_us)
@@ -207,11 +207,11 @@
             self.apply_claim(claim, now_us)
         elif member.claim.state != SUSPECT or claim.refutation != member.claim.refutation:
             return
-        if by not in member.suspected_by and len(member.suspected_by) <= (
+        if source not in member.suspected_by and len(member.suspected_by) <= (
             self.settings.suspicion_confirmations
         ):
-            member.suspected_by.add(by)
-            if by != self.name:
+            member.suspected_by.add(source)
+            if source != self.name:
                 self._updates.add(member.claim)
         member.state_deadline_us = member.suspected_at_us + self._suspicion_timeout_us(member)
 
@@ -224,21 +224,21 @@
 
     def _suspicion_timeout_us(self, member: Member) -> float:
         """Return the suspicion timeout, which confirmations shorten logarithmically (Lifeguard)."""
-        least_us = self.min_suspicion_timeout_us()
+        min_us = self.min_suspicion_timeout_us()
         size = self.cluster_size()
         if not self.settings.local_health or size <= 2:
-            return least_us
-        shared = max(0, len(member.suspected_by) - 1)
-        most_us = least_us * self.settings.suspicion_max_multiple
+            return min_us
+        confirmed = max(0, len(member.suspected_by) - 1)
+        max_us = min_us * self.settings.suspicion_max_multiple
         needed = max(1, min(self.settings.suspicion_confirmations, size - 2))
-        saved_us = (most_us - least_us) * math.log(shared + 1) / math.log(needed + 1)
-        return max(least_us, most_us - saved_us)
+        reduction_us = (max_us - min_us) * math.log(confirmed + 1) / math.log(needed + 1)
+        return max(min_us, max_us - reduction_us)
 
-    def extend_suspicions(self, by_us: int) -> None:
+    def extend_suspicions(self, extension_us: int) -> None:
         """Extend each suspicion by the time that this root was paused."""
         for member in self.members.values():
             if member.claim.state == SUSPECT:
-                member.state_deadline_us += by_us
+                member.state_deadline_us += extension_us
 
     def expire(self, now_us: int) -> None:
         """Declare members gone whose suspicion has expired, and remove long gone ones."""
@@ -276,24 +276,24 @@
         """
         member = self.members.get(claim.name)
         if member is None:
-            taken = self._add_member(claim, now_us, direct)
+            is_applied = self._add_member(claim, now_us, direct)
         elif claim.incarnation < member.claim.incarnation:
-            taken = False
+            is_applied = False
         elif claim.incarnation > member.claim.incarnation:
             self._replace_member(claim, now_us)
-            taken = True
+            is_applied = True
         else:
-            taken = self._update_member(member, claim, now_us, direct)
-        if taken:
+            is_applied = self._update_member(member, claim, now_us, direct)
+        if is_applied:
             self._updates.add(self.members[claim.name].claim)
 
     def _add_member(self, claim: Claim, now_us: int, direct: bool) -> bool:
         """Add a member that is not in the table; return whether it was added."""
-        last = self.departed.get(claim.name)
+        departed = self.departed.get(claim.name)
         if (
-            last is not None
-            and (claim.incarnation, claim.precedence) <= (last.incarnation, last.precedence)
-            and not (direct and claim.incarnation == last.incarnation)
+            departed is not None
+            and (claim.incarnation, claim.precedence) <= (departed.incarnation, departed.precedence)
+            and not (direct and claim.incarnation == departed.incarnation)
         ):
             return False
         if claim.state == GONE:
@@ -323,18 +323,20 @@
         A message from the member itself at another address changes its address. A gone member
         needs a higher refutation to become alive again.
         """
-        held = member.claim
-        moved = direct and claim.address != held.address
-        if claim.precedence <= held.precedence and not moved:
+        current = member.claim
+        is_address_changed = direct and claim.address != current.address
+        if claim.precedence <= current.precedence and not is_address_changed:
             return False
-        if claim.precedence <= held.precedence:
-            claim = Claim(claim.name, claim.incarnation, held.refutation, held.state, claim.address)
+        if claim.precedence <= current.precedence:
+            claim = Claim(
+                claim.name, claim.incarnation, current.refutation, current.state, claim.address
+            )
         elif not direct and member.heard_us is not None:
             claim = Claim(
-                claim.name, claim.incarnation, claim.refutation, claim.state, held.address
+                claim.name, claim.incarnation, claim.refutation, claim.state, current.address
             )
         member.claim = claim
-        if claim.state != held.state:
+        if claim.state != current.state:
             self._enter_state(member, now_us)
         return True
 
--- a/mothnotch/decisions/fleet/message_builder.py
+++ b/mothnotch/decisions/fleet/message_builder.py
@@ -30,13 +30,13 @@
         """
         member = self._membership.members.get(to)
         echo = None
-        first = None
+        first_claim = None
         if member is not None:
             if member.stamp is not None:
                 echo = (member.stamp, now_us - member.stamp_received_us)
             if member.claim.state != ALIVE:
-                first = member.claim
-        claims = self._updates.take(first, self._membership.cluster_size())
+                first_claim = member.claim
+        claims = self._updates.take(first_claim, self._membership.cluster_size())
         own = self._membership.own_claim
         message = Message(kind, number, own, to, target, target_address, now_us, echo, claims)
         return Send(address, message)
--- a/mothnotch/decisions/fleet/origin_facts.py
+++ b/mothnotch/decisions/fleet/origin_facts.py
@@ -48,8 +48,8 @@
 
     def put(self, key: str, fact: StoredFact) -> None:
         """Store a fact; it replaces an earlier one with its key."""
-        before = self.by_key.get(key)
-        self.checksum ^= fact.checksum ^ (before.checksum if before else 0)
+        replaced = self.by_key.get(key)
+        self.checksum ^= fact.checksum ^ (replaced.checksum if replaced else 0)
         self.by_key[key] = fact
         self.max_version = max(self.max_version, fact.version)
 
--- a/mothnotch/decisions/fleet/seeds.py
+++ b/mothnotch/decisions/fleet/seeds.py
@@ -20,14 +20,14 @@
 
         An empty list is ignored, because it more likely means a fault of the catalogue.
         """
-        found = frozenset(sorted(set(addresses) - {self.own_address})[: self.max_discovered])
-        if not found:
+        discovered = frozenset(sorted(set(addresses) - {self.own_address})[: self.max_discovered])
+        if not discovered:
             return
-        for address in self.discovered - found:
+        for address in self.discovered - discovered:
             del self.next_ping_us[address]
         self.discovered = frozenset(
             address
-            for address in found
+            for address in discovered
             if address in self.discovered or address not in self.next_ping_us
         )
         for address in self.discovered:
--- a/mothnotch/decisions/fleet/swim_messages.py
+++ b/mothnotch/decisions/fleet/swim_messages.py
@@ -119,5 +119,5 @@
     """
     if message.echo is None:
         return None
-    stamp, held_us = message.echo
-    return now_us - stamp - held_us if 0 <= held_us <= now_us - stamp else None
+    stamp, elapsed_us = message.echo
+    return now_us - stamp - elapsed_us if 0 <= elapsed_us <= now_us - stamp else None
--- a/mothnotch/decisions/fleet/swim_node.py
+++ b/mothnotch/decisions/fleet/swim_node.py
@@ -113,9 +113,9 @@
 
     def take_changes(self) -> list[MembershipChange]:
         """Return the membership changes since the last call."""
-        found = list(self._changes)
+        changes = list(self._changes)
         self._changes.clear()
-        return found
+        return changes
 
     # ---- timers ----
 
@@ -212,8 +212,8 @@
             # The message is for a root that had this address before. The sender learns from the
             # answer which root has it now.
             self.counts["not_for_me"] += 1
-        known = membership.incarnation_of(sender.name)
-        if known is not None and sender.incarnation < known:
+        newest = membership.incarnation_of(sender.name)
+        if newest is not None and sender.incarnation < newest:
             self._answer_old_incarnation(now_us, address, message, out)
             return out
         membership.on_sender(message, address, now_us)
--- a/mothnotch/decisions/fleet/update_queue.py
+++ b/mothnotch/decisions/fleet/update_queue.py
@@ -26,18 +26,20 @@
         """Remove the claim with a name, if any."""
         self._queued.pop(name, None)
 
-    def take(self, first: Claim | None, cluster_size: int) -> tuple[Claim, ...]:
-        """Return the claims to piggyback on one message: `first`, then the least transmitted."""
-        max_sends = max(1, math.ceil(self.retransmit_multiple * math.log2(cluster_size + 1)))
-        found = []
-        if first is not None:
-            found.append(first)
+    def take(self, first_claim: Claim | None, cluster_size: int) -> tuple[Claim, ...]:
+        """Return claims to piggyback on one message: `first_claim`, then the least transmitted."""
+        max_transmissions = max(
+            1, math.ceil(self.retransmit_multiple * math.log2(cluster_size + 1))
+        )
+        claims = []
+        if first_claim is not None:
+            claims.append(first_claim)
         for entry in sorted(self._queued.values(), key=lambda entry: entry[1]):
-            if len(found) >= self.claims_per_message:
+            if len(claims) >= self.claims_per_message:
                 break
-            if entry[0] not in found:
-                found.append(entry[0])
+            if entry[0] not in claims:
+                claims.append(entry[0])
                 entry[1] += 1
-        for name in [name for name, entry in self._queued.items() if entry[1] >= max_sends]:
+        for name in [name for name, entry in self._queued.items() if entry[1] >= max_transmissions]:
             del self._queued[name]
-        return tuple(found)
+        return tuple(claims)
--- a/mothnotch/peers/codec.py
+++ b/mothnotch/peers/codec.py
@@ -130,10 +130,10 @@
         body = _envelope_to_wire(envelope)
         packed = pack(body)
         while len(packed) > MAX_DATAGRAM_BYTES - HEADER_BYTES:
-            shortened = body.facts or body.digest or body.wanted or body.claims
-            if not shortened:
+            field = body.facts or body.digest or body.wanted or body.claims
+            if not field:
                 break
-            shortened.pop()
+            field.pop()
             packed = pack(body)
         return self.seal(ENVELOPE_MAGIC, packed)
 
--- a/mothnotch/peers/exchange.py
+++ b/mothnotch/peers/exchange.py
@@ -38,15 +38,15 @@
     too long.
     """
     data = bytearray()
-    wanted = LENGTH_PREFIX.size
-    while len(data) < wanted:
-        more = await stream.receive_some(min(READ_BYTES, wanted - len(data)))
-        if not more:
+    expected_bytes = LENGTH_PREFIX.size
+    while len(data) < expected_bytes:
+        chunk = await stream.receive_some(min(READ_BYTES, expected_bytes - len(data)))
+        if not chunk:
             raise EOFError("the other root closed the stream before the message was complete")
-        data += more
-        if wanted == LENGTH_PREFIX.size == len(data):
-            wanted += LENGTH_PREFIX.unpack(bytes(data))[0]
-            if wanted > LENGTH_PREFIX.size + MAX_STREAM_BYTES:
+        data += chunk
+        if expected_bytes == LENGTH_PREFIX.size == len(data):
+            expected_bytes += LENGTH_PREFIX.unpack(bytes(data))[0]
+            if expected_bytes > LENGTH_PREFIX.size + MAX_STREAM_BYTES:
                 raise InvalidMessageError("long")
     return bytes(data[LENGTH_PREFIX.size :])
 
@@ -82,7 +82,7 @@
     codec: Codec,
     protocol: GossipProtocol,
     now_us: Callable[[], int],
-    view: Callable[[int], View],
+    make_view: Callable[[int], View],
 ) -> None:
     """Serve one stream: a full state sync, or a request for a view, which `view(number)` returns.
 
@@ -92,8 +92,8 @@
         with trio.fail_after(EXCHANGE_TIMEOUT_S):
             data = await read_message(stream)
             if data.startswith(VIEW_MAGIC):
-                question = codec.decode_view(data)
-                await write_message(stream, codec.encode_view(view(question.number)))
+                request = codec.decode_view(data)
+                await write_message(stream, codec.encode_view(make_view(request.number)))
             else:
                 await _serve_full_state(stream, codec, protocol, now_us, data)
     finally:
--- a/mothnotch/peers/fleet_views.py
+++ b/mothnotch/peers/fleet_views.py
@@ -17,57 +17,57 @@
 
     The roots at `addresses` are queried first, then every root that appears in a returned view.
     """
-    found = {}
-    failed = {}
-    asked = set()
-    limit = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
+    views = {}
+    errors = {}
+    queried = set()
+    limiter = trio.CapacityLimiter(MAX_CONCURRENT_REQUESTS)
 
-    async def ask(address):
-        async with limit:
+    async def query(address):
+        async with limiter:
             try:
-                found[address] = await exchange.request_view(network, address, codec, len(asked))
+                views[address] = await exchange.request_view(network, address, codec, len(queried))
             except exchange.EXCHANGE_ERRORS as error:
-                failed[address] = str(error) or f"no answer in {exchange.EXCHANGE_TIMEOUT_S:g} s"
+                errors[address] = str(error) or f"no answer in {exchange.EXCHANGE_TIMEOUT_S:g} s"
 
     while True:
-        candidates = dict.fromkeys([*addresses, *_addresses_in(found.values())])
-        fresh = [address for address in candidates if address not in asked]
-        fresh = fresh[: MAX_ROOTS - len(asked)]
-        if not fresh:
-            return found, failed
-        asked.update(fresh)
+        candidates = dict.fromkeys([*addresses, *_addresses_in(views.values())])
+        new_addresses = [address for address in candidates if address not in queried]
+        new_addresses = new_addresses[: MAX_ROOTS - len(queried)]
+        if not new_addresses:
+            return views, errors
+        queried.update(new_addresses)
         async with trio.open_nursery() as nursery:
-            for address in fresh:
-                nursery.start_soon(ask, address)
+            for address in new_addresses:
+                nursery.start_soon(query, address)
 
 
 def _addresses_in(views) -> list[str]:
     """Return the addresses of the roots behind views and of their members that are not gone."""
-    out = []
+    addresses = []
     for view in views:
-        out.append(view.address)
-        out += [peer.address for peer in view.peers if peer.state != GONE]
-    return out
+        addresses.append(view.address)
+        addresses += [peer.address for peer in view.peers if peer.state != GONE]
+    return addresses
 
 
 async def describe_fleet(conf, network) -> tuple[list[str], bool]:
     """Return (report lines, whether all roots answered and agree) for a PeersConfig."""
-    found, failed = await collect_views(
+    views, errors = await collect_views(
         network,
         dict.fromkeys([conf.listen, *conf.seeds]),
         Codec(conf.fleet, [key.encode() for key in conf.keys]),
     )
     # A root may answer at several addresses; list it once.
-    by_root = {}
-    for address, view in found.items():
-        by_root.setdefault((view.name, view.incarnation), (address, view))
+    view_by_root = {}
+    for address, view in views.items():
+        view_by_root.setdefault((view.name, view.incarnation), (address, view))
     lines = []
-    for _, (address, view) in sorted(by_root.items(), key=lambda item: item[0]):
+    for _, (address, view) in sorted(view_by_root.items(), key=lambda item: item[0]):
         lines += _describe_view(address, view)
-    lines += [f"{address}: {why}" for address, why in sorted(failed.items())]
-    wrong = disagreements([view for _, view in by_root.values()])
-    lines += [f"DISAGREE: {line}" for line in wrong]
-    return lines, not wrong and not failed
+    lines += [f"{address}: {error}" for address, error in sorted(errors.items())]
+    disagreement_lines = disagreements([view for _, view in view_by_root.values()])
+    lines += [f"DISAGREE: {line}" for line in disagreement_lines]
+    return lines, not disagreement_lines and not errors
 
 
 def _describe_view(address: str, view: View) -> list[str]:
@@ -80,9 +80,9 @@
     ]
     lines += [_describe_peer(peer) for peer in view.peers]
     lines += [
-        f"  {what}: {count}"
-        for what, count in sorted(view.counts.items())
-        if what.startswith("dropped") or (what == "full" and count)
+        f"  {name}: {count}"
+        for name, count in sorted(view.counts.items())
+        if name.startswith("dropped") or (name == "full" and count)
     ]
     return lines
 
--- a/mothnotch/peers/peer_discovery.py
+++ b/mothnotch/peers/peer_discovery.py
@@ -60,17 +60,19 @@
         )
         try:
             with trio.fail_after(POLL_TIMEOUT_S):
-                status_headers_body = await agent.request("GET", path)
-                answer = api.parse_answer(
-                    *status_headers_body, 0, 0, "stale", api.parse_catalog_entry
-                )
+                response = await agent.request("GET", path)
+                answer = api.parse_answer(*response, 0, 0, "stale", api.parse_catalog_entry)
         except (AgentError, api.BadAnswerError, trio.TooSlowError) as error:
             self._on_failure(agent, error)
             return
         self._is_failing = False
         instances = answer.instances
         self.on_addresses(
-            [one.meta[ADDRESS_META_KEY] for one in instances if ADDRESS_META_KEY in one.meta]
+            [
+                instance.meta[ADDRESS_META_KEY]
+                for instance in instances
+                if ADDRESS_META_KEY in instance.meta
+            ]
         )
 
     def _on_failure(self, agent: AgentClient, error: Exception) -> None:
--- a/mothnotch/peers/service.py
+++ b/mothnotch/peers/service.py
@@ -122,11 +122,11 @@
     async def _bind(self):
         """Return (datagram socket, stream listeners) bound to one address."""
         for _ in range(MAX_PORT_ATTEMPTS):
-            found = await self.network.datagrams(self.listen)
+            datagram_socket = await self.network.datagrams(self.listen)
             try:
-                return found, await self.network.listen(found.name)
+                return datagram_socket, await self.network.listen(datagram_socket.name)
             except OSError:
-                found.close()
+                datagram_socket.close()
                 if not self.listen.endswith(":0"):
                     raise
         raise OSError(f"{self.listen}: no port is free for datagrams and streams")
@@ -174,21 +174,21 @@
             own.address,
             self.protocol.swim.health.is_isolated,
             now - self._started_us,
-            [self._peer_view(belief, now) for belief in self.member_statuses()],
+            [self._peer_view(status, now) for status in self.member_statuses()],
             self._counts(),
             [to_wire(Fact, fact) for fact in facts],
         )
 
-    def _peer_view(self, belief: MemberStatus, now: int) -> PeerView:
-        ages_us = self.protocol.store.ages_us(belief.name, now)
+    def _peer_view(self, status: MemberStatus, now: int) -> PeerView:
+        ages_us = self.protocol.store.ages_us(status.name, now)
         return PeerView(
-            belief.name,
-            belief.incarnation,
-            belief.state,
-            belief.address,
-            -1 if belief.heard_us is None else belief.heard_us,
-            belief.since_us,
-            belief.direct,
+            status.name,
+            status.incarnation,
+            status.state,
+            status.address,
+            -1 if status.heard_us is None else status.heard_us,
+            status.since_us,
+            status.direct,
             len(ages_us),
             max(ages_us, default=0),
         )
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -327,7 +327,7 @@
     )
     for key in ("1", "2"):
         b.publish(key, b"", SECOND, 0)
-    with pytest.raises(ValueError, match="stated already"):
+    with pytest.raises(ValueError, match="2 keys are published already"):
         b.publish("3", b"", SECOND, 0)
 
 
