--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -1,6 +1,4 @@
-"""What roots believe of each other, and what they tell each other: on one virtual clock, over links
-that fail.
-"""
+"""Membership, gossip and the wire format of roots, on a virtual clock over faulty links."""
 
 import copy
 import itertools
@@ -18,124 +16,139 @@
 from mothnotch.peers import codec
 from mothnotch.studies.peers import KEY, SECOND, Link, joined
 
-A1, A2 = (1, 7), (2, 3)
+OLD_INCARNATION, NEW_INCARNATION = (1, 7), (2, 3)
 
 
-def claim(life, turn, state, name="a", address="x"):
-    return swim.Claim(name, life, turn, state, address)
+def claim(incarnation, refutation, state, name="a", address="x"):
+    return swim.Claim(name, incarnation, refutation, state, address)
 
 
-def one(name="z", **settings):
+def make_node(name="z", **settings):
     return SwimNode(name, (1, 1), "z", [], swim.SwimSettings(**settings), random.Random(1), 0)
 
 
-def held(view, name="a"):
-    peer = view.membership.members.get(name)
-    found = peer.claim if peer else view.membership.departed.get(name)
-    return found and (found.incarnation, found.refutation, found.state)
+def current_claim(node, name="a"):
+    member = node.membership.members.get(name)
+    found_claim = member.claim if member else node.membership.departed.get(name)
+    return found_claim and (found_claim.incarnation, found_claim.refutation, found_claim.state)
 
 
 # ---- claims ----
 
 
-def test_claims_in_any_order_and_number_come_to_the_same_belief():
-    """Guards against beliefs that depend on the order in which word comes: roots would never agree."""
-    every = [
-        claim(life, turn, state)
-        for life in (A1, A2)
-        for turn in (0, 1)
+def test_claims_converge_in_any_order_and_with_duplicates():
+    """Guards against a table that depends on the order of claims: roots would never agree."""
+    all_claims = [
+        claim(incarnation, refutation, state)
+        for incarnation in (OLD_INCARNATION, NEW_INCARNATION)
+        for refutation in (0, 1)
         for state in ("alive", "suspect", "gone")
     ]
-    for chosen in itertools.combinations(every, 3):
-        found = set()
-        for order in itertools.permutations(chosen + chosen[:1]):
-            view = one()
-            for at, c in enumerate(order):
-                view.membership.on_claim(c, f"by{at}", at)
-            found.add(held(view))
+    for chosen in itertools.combinations(all_claims, 3):
+        results = set()
+        for ordering in itertools.permutations(chosen + chosen[:1]):
+            node = make_node()
+            for index, c in enumerate(ordering):
+                node.membership.on_claim(c, f"by{index}", index)
+            results.add(current_claim(node))
         best = max(chosen, key=lambda c: (c.incarnation, c.precedence))
-        assert found == {(best.incarnation, best.refutation, best.state)}, chosen
+        assert results == {(best.incarnation, best.refutation, best.state)}, chosen
 
 
-def test_no_word_of_an_old_life_counts_once_a_newer_one_is_known():
-    view = one()
-    say = swim.Message("say", 1, claim(A2, 0, "alive"), "z")
-    view.on_message(10, "x", say)
-    assert view.on_message(
+def test_messages_of_an_old_incarnation_are_dropped():
+    node = make_node()
+    message = swim.Message("say", 1, claim(NEW_INCARNATION, 0, "alive"), "z")
+    node.on_message(10, "x", message)
+    assert node.on_message(
         20,
         "y",
-        swim.Message("ping", 2, claim(A1, 5, "alive"), "z", claims=(claim(A1, 9, "gone", "b"),)),
+        swim.Message(
+            "ping",
+            2,
+            claim(OLD_INCARNATION, 5, "alive"),
+            "z",
+            claims=(claim(OLD_INCARNATION, 9, "gone", "b"),),
+        ),
     )
-    assert held(view) == (A2, 0, "alive") and view.membership.members["a"].claim.address == "x"
-    assert "b" not in view.membership.members and view.counts["old_life"] == 1
-
-
-def test_what_left_the_table_does_not_come_back_by_old_word():
-    view = one(gone_retention_us=1000)
-    view.on_message(10, "x", swim.Message("say", 1, claim(A2, 0, "alive"), "z"))
-    view.membership.on_claim(claim(A2, 1, "gone"), "b", 10 * SECOND)
-    view.membership.expire(20 * SECOND)
-    assert "a" not in view.membership.members
-    view.membership.on_claim(claim(A2, 0, "alive"), "b", 21 * SECOND)
-    view.membership.on_claim(claim(A1, 7, "alive"), "b", 21 * SECOND)
-    assert "a" not in view.membership.members
-    view.on_message(22 * SECOND, "x", swim.Message("say", 1, claim(A2, 2, "alive"), "z"))
-    assert held(view) == (A2, 2, "alive")
+    assert (
+        current_claim(node) == (NEW_INCARNATION, 0, "alive")
+        and node.membership.members["a"].claim.address == "x"
+    )
+    assert "b" not in node.membership.members and node.counts["old_life"] == 1
+
+
+def test_old_claims_do_not_add_a_removed_member_again():
+    node = make_node(gone_retention_us=1000)
+    node.on_message(10, "x", swim.Message("say", 1, claim(NEW_INCARNATION, 0, "alive"), "z"))
+    node.membership.on_claim(claim(NEW_INCARNATION, 1, "gone"), "b", 10 * SECOND)
+    node.membership.expire(20 * SECOND)
+    assert "a" not in node.membership.members
+    node.membership.on_claim(claim(NEW_INCARNATION, 0, "alive"), "b", 21 * SECOND)
+    node.membership.on_claim(claim(OLD_INCARNATION, 7, "alive"), "b", 21 * SECOND)
+    assert "a" not in node.membership.members
+    node.on_message(
+        22 * SECOND, "x", swim.Message("say", 1, claim(NEW_INCARNATION, 2, "alive"), "z")
+    )
+    assert current_claim(node) == (NEW_INCARNATION, 2, "alive")
 
 
 @pytest.mark.parametrize(
     "message",
     [
-        swim.Message("shout", 1, claim(A1, 0, "alive")),
-        swim.Message("say", 1, claim(A1, 0, "gone")),
-        swim.Message("say", 1, claim(A1, 0, "alive", name="")),
+        swim.Message("shout", 1, claim(OLD_INCARNATION, 0, "alive")),
+        swim.Message("say", 1, claim(OLD_INCARNATION, 0, "gone")),
+        swim.Message("say", 1, claim(OLD_INCARNATION, 0, "alive", name="")),
         swim.Message(
             "say",
             1,
-            claim(A1, 0, "alive"),
-            claims=tuple(claim(A1, 0, "alive", f"n{n}") for n in range(50)),
+            claim(OLD_INCARNATION, 0, "alive"),
+            claims=tuple(claim(OLD_INCARNATION, 0, "alive", f"n{n}") for n in range(50)),
         ),
     ],
 )
-def test_a_message_that_makes_no_sense_is_counted_and_changes_nothing(message):
-    view = one()
+def test_an_invalid_message_is_counted_and_changes_nothing(message):
+    node = make_node()
     assert (
-        view.on_message(10, "x", message) == []
-        and view.counts["nonsense"] == 1
-        and view.membership.members == {}
+        node.on_message(10, "x", message) == []
+        and node.counts["nonsense"] == 1
+        and node.membership.members == {}
     )
 
 
-def test_the_table_is_bounded_and_says_so():
-    view = one(max_members=4)
+def test_the_membership_table_is_bounded_and_reports_overflow():
+    node = make_node(max_members=4)
     for n in range(10):
-        view.on_message(n, f"x{n}", swim.Message("say", 1, claim(A1, 0, "alive", f"n{n}")))
-    assert len(view.membership.members) == 4 and view.counts["full"] == 6
-    assert [n.kind for n in view.take_changes()].count("full") == 6
+        node.on_message(
+            n, f"x{n}", swim.Message("say", 1, claim(OLD_INCARNATION, 0, "alive", f"n{n}"))
+        )
+    assert len(node.membership.members) == 4 and node.counts["full"] == 6
+    assert [n.kind for n in node.take_changes()].count("full") == 6
 
 
-def test_a_suspicion_ends_sooner_the_more_share_it():
-    ends = []
-    for sharers in range(4):
-        view = one()
+def test_confirmations_shorten_a_suspicion():
+    deadlines = []
+    for confirmations in range(4):
+        node = make_node()
         for n in range(10):
-            view.on_message(0, f"x{n}", swim.Message("say", 1, claim(A1, 0, "alive", f"n{n}")))
-        for n in range(sharers + 1):
-            view.membership.on_claim(claim(A1, 0, "suspect", "n9"), f"n{n}", 0)
-        ends.append(view.membership.members["n9"].state_deadline_us)
+            node.on_message(
+                0, f"x{n}", swim.Message("say", 1, claim(OLD_INCARNATION, 0, "alive", f"n{n}"))
+            )
+        for n in range(confirmations + 1):
+            node.membership.on_claim(claim(OLD_INCARNATION, 0, "suspect", "n9"), f"n{n}", 0)
+        deadlines.append(node.membership.members["n9"].state_deadline_us)
     assert (
-        ends == sorted(ends, reverse=True)
-        and len(set(ends)) == 4
-        and ends[-1] == pytest.approx(view.membership.min_suspicion_timeout_us())
+        deadlines == sorted(deadlines, reverse=True)
+        and len(set(deadlines)) == 4
+        and deadlines[-1] == pytest.approx(node.membership.min_suspicion_timeout_us())
     )
 
 
 # ---- fleets ----
 
 
-def test_a_dead_root_is_gone_for_all_and_its_next_life_is_new():
-    fleet, took = joined(10, 1)
-    assert took < 3 * SECOND
+def test_a_dead_root_is_declared_gone_and_rejoins_with_a_new_incarnation():
+    fleet, joined_after = joined(10, 1)
+    assert joined_after < 3 * SECOND
     fleet.kill("r4")
     assert (
         fleet.until(lambda: set(fleet.states("r4").values()) == {"gone"}, 30 * SECOND) < 12 * SECOND
@@ -144,7 +157,7 @@
     assert fleet.until(fleet.agreed, 30 * SECOND) < 5 * SECOND
 
 
-def test_a_root_restarted_five_times_within_a_suspicion_is_known_in_its_last_life():
+def test_a_root_restarted_five_times_within_a_suspicion_is_known_by_its_last_incarnation():
     fleet, _ = joined(5, 2)
     for _ in range(5):
         fleet.kill("r2")
@@ -152,13 +165,14 @@
         fleet.start("r2")
         fleet.step(fleet.now + SECOND // 4)
     assert fleet.until(fleet.agreed, 30 * SECOND) < 5 * SECOND
-    assert not any(n.kind == "gone" for _, _, n in fleet.log)
+    assert not any(change.kind == "gone" for _, _, change in fleet.log)
 
 
-def test_a_root_whose_number_went_back_takes_one_above_its_old_life():
+def test_a_root_with_a_lower_number_adopts_one_above_its_old_incarnation():
     fleet, _ = joined(4, 3)
     fleet.kill("r1")
-    fleet.roots["r1"].number = 0  # its clock was set back: the new life's number is below
+    # The clock was set back, so the new process starts with a lower number.
+    fleet.roots["r1"].number = 0
     fleet.roots["r1"].number -= 1
     fleet.start("r1")
     assert fleet.until(fleet.agreed, 60 * SECOND) < 10 * SECOND
@@ -175,37 +189,43 @@
     assert fleet.roots["r0"].membership.members["r3"].claim.address == a.address
 
 
-def test_a_name_used_twice_is_told_aloud_by_both():
+def test_both_roots_with_one_name_report_the_conflict():
     fleet, _ = joined(4, 5)
     fleet.roots["twin"] = copy.copy(fleet.roots["r2"])
     twin = fleet.roots["twin"]
     twin.name, twin.called, twin.address, twin.number = "twin", "r2", "elsewhere", 9
     fleet.start("twin")
     fleet.step(fleet.now + 60 * SECOND)
-    assert {at for _, at, n in fleet.log if n.kind == "twice" and n.name == "r2"} >= {"r2", "twin"}
+    assert {
+        at for _, at, change in fleet.log if change.kind == "twice" and change.name == "r2"
+    } >= {"r2", "twin"}
 
 
-def test_a_root_paused_for_10_s_doubts_itself_and_its_old_word_is_known_to_be_old():
+def test_a_root_paused_for_10_s_suspects_nobody_and_its_stale_messages_are_recognized():
     fleet, _ = joined(5, 6)
     fleet.pause("r1")
     fleet.step(fleet.now + 10 * SECOND)
     assert set(fleet.states("r1").values()) == {"gone"}
-    before = len(fleet.log)
+    log_length = len(fleet.log)
     fleet.keep = True
     fleet.resume("r1")
     fleet.step(fleet.now + 5 * SECOND)
-    said = [n for _, at, n in fleet.log[before:] if at == "r1"]
-    assert said[0].kind == "paused" and not any(n.kind in ("suspect", "gone") for n in said)
+    changes = [change for _, at, change in fleet.log[log_length:] if at == "r1"]
+    assert changes[0].kind == "paused" and not any(
+        change.kind in ("suspect", "gone") for change in changes
+    )
     assert fleet.until(fleet.agreed, 20 * SECOND) is not None
-    # What it sent at once after the pause echoes stamps it had before it: the receivers know a
-    # bound of 10 s.
+    # Its first messages after the pause echo stamps from before it, so the receivers compute an age
+    # of about 10 s at most.
     first = [
-        (m, at) for at, to, _, m in fleet.delivered if m.sender.name == "r1" and m.echo is not None
+        (message, at)
+        for at, to, _, message in fleet.delivered
+        if message.sender.name == "r1" and message.echo is not None
     ][0]
     assert swim.age_bound_us(first[0], first[1]) is not None
 
 
-def test_half_of_the_roots_cut_off_for_a_minute_come_back_together():
+def test_a_partition_of_half_the_roots_for_a_minute_heals():
     fleet, _ = joined(6, 7)
     fleet.cut(["r0", "r1", "r2"])
     fleet.step(fleet.now + 60 * SECOND)
@@ -214,51 +234,51 @@
     assert fleet.until(fleet.agreed, 60 * SECOND) < 20 * SECOND
 
 
-def test_a_root_that_is_heard_by_nobody_holds_itself_for_cut_off_and_nobody_for_gone():
+def test_a_root_that_nobody_hears_is_isolated_and_declares_nobody_gone():
     fleet, _ = joined(6, 8)
     fleet.cut(["r5"], both=False)
     fleet.step(fleet.now + 30 * SECOND)
     assert set(fleet.states("r5").values()) <= {"gone", None}
     assert fleet.roots["r5"].swim.health.is_isolated
-    assert [n for _, at, n in fleet.log if at == "r5" and n.kind == "gone"] == []
+    assert [change for _, at, change in fleet.log if at == "r5" and change.kind == "gone"] == []
     fleet.cut(["r5"], both=False, on=False)
     assert fleet.until(fleet.agreed, 60 * SECOND) < 20 * SECOND
 
 
-def test_a_one_way_cut_between_two_roots_takes_neither_for_gone():
+def test_a_one_way_cut_between_two_roots_makes_neither_gone():
     fleet, _ = joined(5, 9)
     fleet.links["r1", "r2"] = Link(cut=True)
     fleet.step(fleet.now + 60 * SECOND)
-    assert not any(n.kind == "gone" for _, _, n in fleet.log)
+    assert not any(change.kind == "gone" for _, _, change in fleet.log)
 
 
-def test_no_sound_root_is_held_for_gone_with_a_third_of_all_lost_and_jitter():
+def test_no_live_root_is_declared_gone_under_30_percent_loss_and_jitter():
     fleet, _ = joined(10, 10)
     fleet.link.loss, fleet.link.jitter_us = 0.3, 200_000
     fleet.step(fleet.now + 600 * SECOND)
-    assert [n for _, _, n in fleet.log if n.kind == "gone"] == []
+    assert [change for _, _, change in fleet.log if change.kind == "gone"] == []
 
 
 # ---- facts ----
 
 
-def book(name, life=(1, 1), **settings):
-    return GossipStore(name, life, GossipStoreSettings(**settings))
+def make_store(name, incarnation=(1, 1), **settings):
+    return GossipStore(name, incarnation, GossipStoreSettings(**settings))
 
 
-def exchange(a, b, now, transit=1000):
-    found, wanted = b.reconcile(a.digest(), 1 << 16, now)
-    a.receive(found, transit, now)
-    found, _ = a.reconcile(wanted, 1 << 16, now)
-    b.receive(found, transit, now)
+def reconcile_stores(first, second, now_us, transit_us=1000):
+    facts, wanted = second.reconcile(first.digest(), 1 << 16, now_us)
+    first.receive(facts, transit_us, now_us)
+    facts, _ = first.reconcile(wanted, 1 << 16, now_us)
+    second.receive(facts, transit_us, now_us)
 
 
-def test_ages_bound_what_they_state_and_a_spent_fact_counts_for_nothing():
-    a, b, c = book("a"), book("b"), book("c")
+def test_fact_ages_are_upper_bounds_and_expired_facts_are_dropped():
+    a, b, c = make_store("a"), make_store("b"), make_store("c")
     a.publish("load", b"5", 2 * SECOND, 0)
     b.receive(
         a.updates_to_piggyback(1200, 3, 300_000), 50_000, 777
-    )  # b's clock has nothing to do with a's
+    )  # b's clock is unrelated to a's
     assert 351_000 <= b.known_facts("load", 777)["a"].age_us <= 358_000
     c.receive(b.updates_to_piggyback(1200, 3, 777 + SECOND), 10_000, 5)
     assert 1_361_000 <= c.known_facts("load", 5)["a"].age_us <= 1_400_000
@@ -267,8 +287,8 @@
     assert "a" not in c.origins
 
 
-def test_facts_out_of_order_twice_from_old_lives_and_the_future_are_told_apart():
-    a, b = book("a"), book("b")
+def test_stale_duplicate_old_and_unpublished_facts_are_counted_apart():
+    a, b = make_store("a"), make_store("b")
     a.publish("k", b"1", 9 * SECOND, 0)
     first = a.updates_to_piggyback(1200, 2, 0)
     a.publish("k", b"2", 9 * SECOND, 0)
@@ -278,12 +298,12 @@
         1,
         1,
     )
-    reborn = book("a", (2, 1))
-    reborn.publish("k", b"new", 9 * SECOND, 0)
-    b.receive(reborn.updates_to_piggyback(1200, 2, 0) + second, 0, 0)
+    restarted = make_store("a", (2, 1))
+    restarted.publish("k", b"new", 9 * SECOND, 0)
+    b.receive(restarted.updates_to_piggyback(1200, 2, 0) + second, 0, 0)
     assert b.known_facts("k", 0)["a"].value == b"new" and b.counts["old_life"] == 1
-    made_up = gossip.Fact("b", (1, 1), "k", 5, b"", 0, SECOND)
-    b.receive((made_up,), 0, 0)
+    unpublished = gossip.Fact("b", (1, 1), "k", 5, b"", 0, SECOND)
+    b.receive((unpublished,), 0, 0)
     b.receive(first, None, 0)
     assert b.counts["future"] == 1 and b.counts["unbounded"] == 1 and "k" not in b.own.by_key
 
@@ -301,7 +321,7 @@
         {"origin": ""},
     ],
 )
-def test_a_fact_that_makes_no_sense_is_not_taken(change):
+def test_an_invalid_fact_is_rejected(change):
     fields = {
         "origin": "a",
         "incarnation": (1, 1),
@@ -311,13 +331,13 @@
         "age_us": 0,
         "ttl_us": SECOND,
     }
-    b = book("b")
+    b = make_store("b")
     b.receive((gossip.Fact(**fields | change),), 0, 0)
     assert b.counts["nonsense"] == 1 and set(b.origins) == {"b"}
 
 
-def test_tables_of_facts_are_bounded_and_push_nothing_out():
-    b = book("b", max_origins=3, max_keys=2)
+def test_fact_tables_are_bounded_and_evict_nothing():
+    b = make_store("b", max_origins=3, max_keys=2)
     for origin, key in (("a", "1"), ("a", "2"), ("a", "3"), ("c", "1"), ("d", "1")):
         b.receive((gossip.Fact(origin, (1, 1), key, 1, b"", 0, SECOND),), 0, 0)
     assert (
@@ -331,28 +351,34 @@
         b.publish("3", b"", SECOND, 0)
 
 
-def test_a_digest_mends_a_gap_under_the_highest_version():
-    a, b = book("a"), book("b")
+def test_a_digest_repairs_a_gap_below_the_highest_version():
+    a, b = make_store("a"), make_store("b")
     for key in ("x", "y", "z"):
         a.publish(key, key.encode(), 9 * SECOND, 0)
     b.receive([f for f in a.updates_to_piggyback(1200, 2, 0) if f.key != "y"], 0, 0)
-    exchange(a, b, 0)
+    reconcile_stores(a, b, 0)
     assert b.known_facts("y", 0)["a"].value == b"y" and a.digest()[0] == next(
         m for m in b.digest() if m.origin == "a"
     )
 
 
-def test_search_no_fact_of_an_old_life_wins_and_all_agree_once_messages_flow():
-    """Every order of saying, sending, losing, repeating, delivering and restarting, to the stated
-    depth: 3 roots, 2 lives of one of them. What holds in each state: nobody who knows of the second
-    life holds a fact of the first; what is held is what that life said last or before. In each last
-    state, three rounds of digests make all agree.
+def test_model_check_old_incarnations_never_win_and_stores_converge():
+    """Explore all orders of publishing, sending, losing, duplicating, delivering and restarting.
+
+    There are three roots, one with two incarnations, and up to `depth` steps. In every state, a
+    root that knows the second incarnation stores only facts published by it. From the final states,
+    three rounds of digests make all roots agree.
     """
     depth, seen, states = 9, set(), 0
-    start = ({"a": book("a"), "b": book("b"), "c": book("c")}, (), {1: 0, 2: 0}, 1)
+    start = (
+        {"a": make_store("a"), "b": make_store("b"), "c": make_store("c")},
+        (),
+        {1: 0, 2: 0},
+        1,
+    )
 
-    def key(state):
-        books, flying, said, life = state
+    def state_key(state):
+        stores, in_flight, published, number = state
         return (
             tuple(
                 (
@@ -369,97 +395,105 @@
                     ),
                     tuple(sorted((o, k, e.transmissions) for (o, k), e in b.updates.items())),
                 )
-                for n, b in books.items()
+                for n, b in stores.items()
             ),
             tuple(
                 sorted(
-                    (to, tuple((f.origin, f.incarnation, f.version) for f in found))
-                    for to, found in flying
+                    (to, tuple((f.origin, f.incarnation, f.version) for f in facts))
+                    for to, facts in in_flight
                 )
             ),
-            life,
+            number,
         )
 
-    def after(state):
-        books, flying, said, life = state
-        if said[life] < 2:
-            copied = copy.deepcopy(books)
-            copied["a"].publish("k", f"{life}.{said[life]}".encode(), 100 * SECOND, 0)
-            yield copied, flying, said | {life: said[life] + 1}, life
-        if life == 1:
-            copied = copy.deepcopy(books)
-            copied["a"] = book("a", (2, 0))
-            yield copied, flying, said, 2
-        for name in books if len(flying) < 2 else ():
-            copied = copy.deepcopy(books)
-            found = copied[name].updates_to_piggyback(1200, 3, 0)
-            if found:
-                for to in books.keys() - {name}:
-                    yield copied, (*flying, (to, found)), said, life
-        for at, (to, found) in enumerate(flying):
-            rest = flying[:at] + flying[at + 1 :]
-            yield books, rest, said, life  # lost
-            copied = copy.deepcopy(books)
-            copied[to].receive(found, 0, 0)
-            yield copied, rest, said, life  # delivered
-            yield copied, flying, said, life  # delivered, and once more later
-
-    level = [start]
+    def successors(state):
+        stores, in_flight, published, number = state
+        if published[number] < 2:
+            new_stores = copy.deepcopy(stores)
+            new_stores["a"].publish("k", f"{number}.{published[number]}".encode(), 100 * SECOND, 0)
+            yield new_stores, in_flight, published | {number: published[number] + 1}, number
+        if number == 1:
+            new_stores = copy.deepcopy(stores)
+            new_stores["a"] = make_store("a", (2, 0))
+            yield new_stores, in_flight, published, 2
+        for name in stores if len(in_flight) < 2 else ():
+            new_stores = copy.deepcopy(stores)
+            facts = new_stores[name].updates_to_piggyback(1200, 3, 0)
+            if facts:
+                for to in stores.keys() - {name}:
+                    yield new_stores, (*in_flight, (to, facts)), published, number
+        for index, (to, facts) in enumerate(in_flight):
+            remaining = in_flight[:index] + in_flight[index + 1 :]
+            yield stores, remaining, published, number  # the message is lost
+            new_stores = copy.deepcopy(stores)
+            new_stores[to].receive(facts, 0, 0)
+            yield new_stores, remaining, published, number  # delivered once
+            yield new_stores, in_flight, published, number  # delivered, and still in flight
+
+    frontier = [start]
     for _ in range(depth):
-        following = []
-        for state in level:
-            for new in after(state):
-                if (k := key(new)) in seen:
+        next_frontier = []
+        for state in frontier:
+            for successor in successors(state):
+                if (k := state_key(successor)) in seen:
                     continue
                 seen.add(k)
                 states += 1
-                following.append(new)
-                for book_ in new[0].values():
-                    if origin := book_.origins.get("a"):
+                next_frontier.append(successor)
+                for store in successor[0].values():
+                    if origin := store.origins.get("a"):
                         assert {int(e.value.split(b".")[0]) for e in origin.by_key.values()} <= {
                             origin.incarnation[0]
                         }
-        level = following
+        frontier = next_frontier
     assert states > 2000
-    for books, _, _, _ in level[:: max(1, len(level) // 200)]:
-        books = copy.deepcopy(books)
+    for stores, _, _, _ in frontier[:: max(1, len(frontier) // 200)]:
+        stores = copy.deepcopy(stores)
         for _ in range(3):
-            for one_, other in itertools.combinations(books.values(), 2):
-                exchange(one_, other, 0)
+            for first, second in itertools.combinations(stores.values(), 2):
+                reconcile_stores(first, second, 0)
         assert (
             len(
                 {
                     tuple(sorted((o, v.value) for o, v in b.known_facts("k", 0).items()))
-                    for b in books.values()
+                    for b in stores.values()
                 }
             )
             == 1
         )
 
 
-# ---- on the wire ----
+# ---- wire format ----
 
-OLD, NEW = b"a key that goes away", b"a key that comes in."
+OLD_KEY, NEW_KEY = b"a key that goes away", b"a key that comes in."
 
 
-def envelope(**more):
+def envelope(**fields):
     message = swim.Message(
-        "ping", 7, claim(A1, 3, "alive"), "z", "t", "addr", 55, (5, 6), (claim(A2, 0, "gone", "b"),)
+        "ping",
+        7,
+        claim(OLD_INCARNATION, 3, "alive"),
+        "z",
+        "t",
+        "addr",
+        55,
+        (5, 6),
+        (claim(NEW_INCARNATION, 0, "gone", "b"),),
     )
-    return gossip.Envelope(message, **more)
+    return gossip.Envelope(message, **fields)
 
 
-def test_an_envelope_comes_back_as_it_was():
-    said = envelope(
-        facts=(gossip.Fact("a", A1, "k", 1, b"\x00v", 5, 6),),
-        digest=(gossip.DigestEntry("a", A1, 1, 2**64 - 1),),
-        wanted=(gossip.DigestEntry("b", A2, 0, 0),),
+def test_an_envelope_survives_a_round_trip():
+    sent = envelope(
+        facts=(gossip.Fact("a", OLD_INCARNATION, "k", 1, b"\x00v", 5, 6),),
+        digest=(gossip.DigestEntry("a", OLD_INCARNATION, 1, 2**64 - 1),),
+        wanted=(gossip.DigestEntry("b", NEW_INCARNATION, 0, 0),),
     )
-    assert codec.Codec("f", [OLD]).decode(codec.Codec("f", [OLD]).encode(said)) == said
+    assert codec.Codec("f", [OLD_KEY]).decode(codec.Codec("f", [OLD_KEY]).encode(sent)) == sent
 
 
 @pytest.mark.parametrize(
-    "change,why",
+    "change,reason",
     [
         (lambda d: d[:20], "short"),
         (lambda d: d + b"x" * 1400, "long"),
@@ -471,11 +505,11 @@
         (lambda d: d[:8] + bytes([d[8] ^ 1]) + d[9:], "tag"),
     ],
 )
-def test_what_is_not_of_the_fleet_is_dropped_and_named(change, why):
-    one = codec.Codec("f", [OLD])
-    with pytest.raises(codec.InvalidMessageError) as dropped:
-        one.decode(change(one.encode(envelope())))
-    assert dropped.value.reason == why
+def test_a_datagram_with_an_invalid_header_or_tag_is_dropped_with_its_reason(change, reason):
+    fleet_codec = codec.Codec("f", [OLD_KEY])
+    with pytest.raises(codec.InvalidMessageError) as error:
+        fleet_codec.decode(change(fleet_codec.encode(envelope())))
+    assert error.value.reason == reason
 
 
 @pytest.mark.parametrize(
@@ -489,176 +523,190 @@
         codec.pack(["ping", "one", []]),
     ],
 )
-def test_a_body_with_a_sound_tag_that_cannot_be_read_is_dropped(body):
-    one = codec.Codec("f", [OLD])
-    with pytest.raises(codec.InvalidMessageError) as dropped:
-        one.decode(one.seal(codec.ENVELOPE_MAGIC, body))
-    assert dropped.value.reason == "form"
-
-
-def test_noise_and_a_flood_change_nothing():
-    drawn, one, view = random.Random(1), codec.Codec("f", [OLD]), one_view()
+def test_an_authenticated_but_malformed_body_is_dropped(body):
+    fleet_codec = codec.Codec("f", [OLD_KEY])
+    with pytest.raises(codec.InvalidMessageError) as error:
+        fleet_codec.decode(fleet_codec.seal(codec.ENVELOPE_MAGIC, body))
+    assert error.value.reason == "form"
+
+
+def test_random_datagrams_change_nothing():
+    generator, fleet_codec, protocol = (
+        random.Random(1),
+        codec.Codec("f", [OLD_KEY]),
+        make_protocol(),
+    )
     for n in range(5000):
         data = (
-            drawn.randbytes(drawn.randrange(1500))
+            generator.randbytes(generator.randrange(1500))
             if n % 2
-            else one.prefix + drawn.randbytes(drawn.randrange(1300))
+            else fleet_codec.prefix + generator.randbytes(generator.randrange(1300))
         )
         with pytest.raises(codec.InvalidMessageError):
-            view.on_envelope(n, "x", one.decode(data))
-    assert view.swim.membership.members == {} and set(view.store.origins) == {"z"}
+            protocol.on_envelope(n, "x", fleet_codec.decode(data))
+    assert protocol.swim.membership.members == {} and set(protocol.store.origins) == {"z"}
 
 
-def one_view():
-    view = one()
-    return GossipProtocol(view, book("z"), GossipSettings(), random.Random(1), 0)
+def make_protocol():
+    node = make_node()
+    return GossipProtocol(node, make_store("z"), GossipSettings(), random.Random(1), 0)
 
 
-def test_an_older_release_reads_a_newer_ones_messages_and_the_other_way_round():
-    one = codec.Codec("f", [OLD])
-    body = msgspec.msgpack.decode(one.encode(envelope())[codec.HEADER_BYTES :])
+def test_older_and_newer_releases_read_each_others_messages():
+    fleet_codec = codec.Codec("f", [OLD_KEY])
+    body = msgspec.msgpack.decode(fleet_codec.encode(envelope())[codec.HEADER_BYTES :])
     newer = codec.pack([*body, {"new": 1}, 9])
-    assert one.decode(one.seal(codec.ENVELOPE_MAGIC, newer)) == envelope()
-    older = codec.pack(body[:9])  # of before there were facts
-    assert one.decode(one.seal(codec.ENVELOPE_MAGIC, older)).facts == ()
+    assert fleet_codec.decode(fleet_codec.seal(codec.ENVELOPE_MAGIC, newer)) == envelope()
+    older = codec.pack(body[:9])  # a release from before facts existed
+    assert fleet_codec.decode(fleet_codec.seal(codec.ENVELOPE_MAGIC, older)).facts == ()
 
 
-def test_a_datagram_holds_what_fits_and_facts_go_first():
-    many = tuple(gossip.Fact("a", A1, f"k{n}", n + 1, b"v" * 200, 0, 9) for n in range(20))
-    said = codec.Codec("f", [OLD]).encode(envelope(facts=many))
-    found = codec.Codec("f", [OLD]).decode(said)
+def test_an_oversized_envelope_loses_facts_first():
+    facts = tuple(
+        gossip.Fact("a", OLD_INCARNATION, f"k{n}", n + 1, b"v" * 200, 0, 9) for n in range(20)
+    )
+    datagram = codec.Codec("f", [OLD_KEY]).encode(envelope(facts=facts))
+    decoded = codec.Codec("f", [OLD_KEY]).decode(datagram)
     assert (
-        len(said) <= codec.MAX_DATAGRAM_BYTES
-        and 0 < len(found.facts) < 20
-        and found.message == envelope().message
+        len(datagram) <= codec.MAX_DATAGRAM_BYTES
+        and 0 < len(decoded.facts) < 20
+        and decoded.message == envelope().message
     )
 
 
-def test_a_key_is_changed_root_by_root_without_losing_sight():
+def test_key_rotation_root_by_root_keeps_all_members_alive():
     fleet, _ = joined(4, 11)
-    for keys in ([KEY, NEW], [NEW, KEY], [NEW]):
+    for keys in ([KEY, NEW_KEY], [NEW_KEY, KEY], [NEW_KEY]):
         for root in fleet.roots.values():
             root.codec = codec.Codec("virtual", keys)
             fleet.step(fleet.now + SECOND)
     assert (
         fleet.dropped == []
         and fleet.agreed()
-        and not any(n.kind in ("suspect", "gone") for _, _, n in fleet.log)
+        and not any(change.kind in ("suspect", "gone") for _, _, change in fleet.log)
     )
 
 
-def test_a_message_repeated_by_the_network_does_not_keep_a_dead_root_alive():
-    view = one()
-    say = swim.Message("say", 1, claim(A1, 0, "alive"), "z", stamp=5)
-    view.on_message(10, "x", say)
-    view.on_message(9 * SECOND, "x", say)
-    assert view.membership.members["a"].heard_us == 10
+def test_a_duplicated_message_does_not_keep_a_dead_root_alive():
+    node = make_node()
+    message = swim.Message("say", 1, claim(OLD_INCARNATION, 0, "alive"), "z", stamp=5)
+    node.on_message(10, "x", message)
+    node.on_message(9 * SECOND, "x", message)
+    assert node.membership.members["a"].heard_us == 10
 
 
 # ---- facts in a fleet ----
 
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
-def test_a_fact_reaches_all_and_a_cut_half_hears_it_soon_after(loss):
+def test_a_fact_reaches_all_roots_and_a_partition_soon_after_it_heals(loss):
     fleet, _ = joined(8, 12)
     fleet.link.loss = loss
     fleet.roots["r0"].facts.publish("demand", b"1", 60 * SECOND, fleet.now)
-    assert fleet.until(lambda: len(holders(fleet, b"1")) == 8, 30 * SECOND) < 5 * SECOND
+    assert fleet.until(lambda: len(roots_that_know(fleet, b"1")) == 8, 30 * SECOND) < 5 * SECOND
     fleet.cut(["r0", "r1", "r2"])
     fleet.roots["r0"].facts.publish("demand", b"2", 60 * SECOND, fleet.now)
     fleet.step(fleet.now + 20 * SECOND)
-    assert holders(fleet, b"2") == {"r0", "r1", "r2"}
+    assert roots_that_know(fleet, b"2") == {"r0", "r1", "r2"}
     fleet.cut(["r0", "r1", "r2"], on=False)
-    assert fleet.until(lambda: len(holders(fleet, b"2")) == 8, 60 * SECOND) < 20 * SECOND
+    assert fleet.until(lambda: len(roots_that_know(fleet, b"2")) == 8, 60 * SECOND) < 20 * SECOND
 
 
-def holders(fleet, value):
+def roots_that_know(fleet, value):
     return {
-        r.name
-        for r in fleet.roots.values()
-        if r.up and (k := r.facts.known_facts("demand", fleet.now).get("r0")) and k.value == value
+        root.name
+        for root in fleet.roots.values()
+        if root.up
+        and (fact := root.facts.known_facts("demand", fleet.now).get("r0"))
+        and fact.value == value
     }
 
 
-def test_ages_in_a_fleet_are_never_under_the_truth():
+def test_fact_ages_in_a_fleet_are_never_understated():
     fleet, _ = joined(6, 13)
     fleet.link.jitter_us = 100_000
     fleet.roots["r0"].facts.publish("demand", b"1", 60 * SECOND, fleet.now)
-    born = fleet.now
+    published_at = fleet.now
     for _ in range(20):
         fleet.step(fleet.now + SECOND // 2)
         ages = [
-            k.age_us
-            for r in fleet.roots.values()
-            if (k := r.facts.known_facts("demand", fleet.now).get("r0"))
+            fact.age_us
+            for root in fleet.roots.values()
+            if (fact := root.facts.known_facts("demand", fleet.now).get("r0"))
         ]
-        assert all(age >= fleet.now - born for age in ages)
-    assert len(ages) == 6 and max(ages) < 2 * (fleet.now - born) + 3 * SECOND
+        assert all(age >= fleet.now - published_at for age in ages)
+    assert len(ages) == 6 and max(ages) < 2 * (fleet.now - published_at) + 3 * SECOND
 
 
-def test_a_restarted_roots_old_facts_are_gone_everywhere_once_its_new_life_is_known():
+def test_facts_of_a_restarted_root_disappear_with_its_old_incarnation():
     fleet, _ = joined(5, 14)
     fleet.roots["r0"].facts.publish("demand", b"old", 300 * SECOND, fleet.now)
     fleet.step(fleet.now + 5 * SECOND)
-    assert len(holders(fleet, b"old")) == 5
+    assert len(roots_that_know(fleet, b"old")) == 5
     fleet.kill("r0")
     fleet.start("r0")
-    assert fleet.until(lambda: holders(fleet, b"old") == set(), 30 * SECOND) < 10 * SECOND
+    assert fleet.until(lambda: roots_that_know(fleet, b"old") == set(), 30 * SECOND) < 10 * SECOND
     fleet.step(fleet.now + 30 * SECOND)
-    assert holders(fleet, b"old") == set()
+    assert roots_that_know(fleet, b"old") == set()
 
 
-def test_the_catalogue_names_addresses_and_what_it_leaves_out_is_called_no_more():
-    view = SwimNode("a", (1, 1), "a:1", ["s:1"], swim.SwimSettings(), random.Random(1), 0)
-    view.seeds.set_discovered(["a:1", "b:1", "c:1"], 0)
-    assert set(view.seeds.next_ping_us) == {"s:1", "b:1", "c:1"}
-    view.seeds.set_discovered([], 10)  # it names nobody: it is in doubt itself
-    assert set(view.seeds.next_ping_us) == {"s:1", "b:1", "c:1"}
-    view.seeds.set_discovered(["c:1", "s:1"], 20)
-    assert set(view.seeds.next_ping_us) == {"s:1", "c:1"}
-    view.seeds.set_discovered(["d:1"], 30)
-    assert set(view.seeds.next_ping_us) == {"s:1", "d:1"}  # one of the configuration's own stays
-    view.seeds.set_discovered([f"x{n}:1" for n in range(1000)], 40)
-    assert len(view.seeds.next_ping_us) == 1 + view.settings.max_members
+def test_seeds_follow_the_addresses_in_the_catalogue():
+    node = SwimNode("a", (1, 1), "a:1", ["s:1"], swim.SwimSettings(), random.Random(1), 0)
+    node.seeds.set_discovered(["a:1", "b:1", "c:1"], 0)
+    assert set(node.seeds.next_ping_us) == {"s:1", "b:1", "c:1"}
+    node.seeds.set_discovered([], 10)  # an empty list is ignored
+    assert set(node.seeds.next_ping_us) == {"s:1", "b:1", "c:1"}
+    node.seeds.set_discovered(["c:1", "s:1"], 20)
+    assert set(node.seeds.next_ping_us) == {"s:1", "c:1"}
+    node.seeds.set_discovered(["d:1"], 30)
+    assert set(node.seeds.next_ping_us) == {"s:1", "d:1"}  # a configured seed stays
+    node.seeds.set_discovered([f"x{n}:1" for n in range(1000)], 40)
+    assert len(node.seeds.next_ping_us) == 1 + node.settings.max_members
 
 
-class Seen:
-    def __init__(self, name, life=1, state="alive", peers=()):
-        self.name, self.incarnation, self.state, self.peers = name, (life, 0), state, peers
+class FakeView:
+    def __init__(self, name, number=1, state="alive", peers=()):
+        self.name, self.incarnation, self.state, self.peers = name, (number, 0), state, peers
 
 
 @pytest.mark.parametrize(
-    "views, said",
+    "views, expected",
     [
-        ([Seen("a", peers=[Seen("b")]), Seen("b", peers=[Seen("a")])], []),
-        ([Seen("a"), Seen("b", peers=[Seen("a")])], ["a has no entry for b, which answers"]),
+        ([FakeView("a", peers=[FakeView("b")]), FakeView("b", peers=[FakeView("a")])], []),
         (
-            [Seen("a", peers=[Seen("b", 1)]), Seen("b", 2, peers=[Seen("a")])],
+            [FakeView("a"), FakeView("b", peers=[FakeView("a")])],
+            ["a has no entry for b, which answers"],
+        ),
+        (
+            [FakeView("a", peers=[FakeView("b", 1)]), FakeView("b", 2, peers=[FakeView("a")])],
             ["a believes that b is in incarnation 1, but it is in 2"],
         ),
         (
-            [Seen("a", peers=[Seen("b", state="gone")]), Seen("b", peers=[Seen("a")])],
+            [
+                FakeView("a", peers=[FakeView("b", state="gone")]),
+                FakeView("b", peers=[FakeView("a")]),
+            ],
             ["a believes that b is gone, but it answers"],
         ),
-        ([Seen("a", 1), Seen("a", 2)], ["2 roots use the name a"]),
+        ([FakeView("a", 1), FakeView("a", 2)], ["2 roots use the name a"]),
         (
             [
-                Seen("a", peers=[Seen("b"), Seen("c")]),
-                Seen("b", peers=[Seen("a"), Seen("c", state="gone")]),
+                FakeView("a", peers=[FakeView("b"), FakeView("c")]),
+                FakeView("b", peers=[FakeView("a"), FakeView("c", state="gone")]),
             ],
             ["c does not answer: a believes that it is alive, b believes that it is gone"],
         ),
     ],
 )
-def test_disagreements_are_named(views, said):
-    found = divergence.disagreements(views)
-    assert len(found) == len(said) and all(s in f for s, f in zip(said, found, strict=True))
+def test_disagreements_are_reported(views, expected):
+    lines = divergence.disagreements(views)
+    assert len(lines) == len(expected) and all(
+        text in line for text, line in zip(expected, lines, strict=True)
+    )
 
 
-def test_a_virtual_fleet_that_was_cut_in_half_is_one_again_sooner_by_whole_exchanges():
-    """Facts of many roots that changed on both sides of a cut: digests name sixteen origins a
-    second.
-    """
+def test_full_state_sync_speeds_up_recovery_from_a_partition():
+    """Facts change on both sides of a partition, and digests cover only 16 origins per second."""
     fleet, _ = joined(30, 4)
     half = list(fleet.roots)[:15]
     fleet.cut(half)
@@ -671,11 +719,11 @@
 
     def all_know():
         return all(
-            len(r.facts.known_facts("k0", fleet.now))
-            == len(r.facts.known_facts("k9", fleet.now))
+            len(peer.facts.known_facts("k0", fleet.now))
+            == len(peer.facts.known_facts("k9", fleet.now))
             == 30
-            for r in fleet.roots.values()
+            for peer in fleet.roots.values()
         )
 
     assert fleet.until(all_know, 60 * SECOND) < 40 * SECOND
-    assert sum(r.talk.counts["wholes"] for r in fleet.roots.values()) >= 30
+    assert sum(peer.talk.counts["wholes"] for peer in fleet.roots.values()) >= 30
--- a/tests/test_peers_service.py
+++ b/tests/test_peers_service.py
@@ -1,4 +1,4 @@
-"""Roots that speak over datagrams: in memory on a virtual clock, and over loopback sockets."""
+"""Gossip between root services: in memory on a virtual clock, and over loopback sockets."""
 
 import random
 
@@ -17,7 +17,7 @@
 KEY = b"a key of these tests"
 
 
-class Kept:
+class RecordedLog:
     def __init__(self):
         self.lines = []
 
@@ -27,75 +27,75 @@
     warning = info
 
 
-def service(office, n, seeds, host="root", key=KEY):
+def service(network, number, seeds, host="root", key=KEY):
     return PeerService(
-        office,
-        Kept(),
-        f"r{n}",
-        (1, n),
-        f"{host}:{0 if host != 'root' else 100 + n}",
+        network,
+        RecordedLog(),
+        f"r{number}",
+        (1, number),
+        f"{host}:{0 if host != 'root' else 100 + number}",
         seeds,
         "f",
         [key],
-        random.Random(n),
+        random.Random(number),
     )
 
 
-def alive(one):
-    return {b.name for b in one.member_statuses() if b.state == ALIVE}
+def alive(root):
+    return {status.name for status in root.member_statuses() if status.state == ALIVE}
 
 
-async def until(true, seconds):
+async def until(condition, seconds):
     with trio.fail_after(seconds):
-        while not true():
+        while not condition():
             await trio.sleep(0.05)
 
 
-def virtual(test):
+def run_on_virtual_clock(main):
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(1)
-    trio.run(test, clock=trio.testing.MockClock(autojump_threshold=0))
+    trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def test_roots_in_memory_find_each_other_pass_facts_on_and_miss_one_that_ends():
+def test_roots_in_memory_join_spread_facts_and_detect_a_stopped_root():
     async def main():
-        network, drawn = MemoryNetwork(), random.Random(1)
+        network, generator = MemoryNetwork(), random.Random(1)
         network.fate = (
             lambda a, b: ()
-            if drawn.random() < 0.2
-            else (drawn.random() * 0.05,) * (1 + (drawn.random() < 0.1))
+            if generator.random() < 0.2
+            else (generator.random() * 0.05,) * (1 + (generator.random() < 0.1))
         )
         roots = [service(network, n, ["root:100"]) for n in range(5)]
         async with trio.open_nursery() as nursery:
-            scopes = [await nursery.start(scoped, root) for root in roots]
+            scopes = [await nursery.start(run_in_scope, root) for root in roots]
             await until(lambda: all(len(alive(r)) == 4 for r in roots), 30)
             roots[2].publish("demand", b"7", 60_000_000)
             await until(lambda: all(r.known_facts("demand").get("r2") for r in roots), 20)
             assert all(0 <= r.known_facts("demand")["r2"].age_us < 25_000_000 for r in roots)
             scopes[3].cancel()
-            rest = [r for r in roots if r.name != "r3"]
-            await until(lambda: all("r3" not in alive(r) for r in rest), 30)
+            remaining = [r for r in roots if r.name != "r3"]
+            await until(lambda: all("r3" not in alive(r) for r in remaining), 30)
             nursery.cancel_scope.cancel()
 
-    virtual(main)
+    run_on_virtual_clock(main)
 
 
-async def scoped(root, task_status):
+async def run_in_scope(root, task_status):
     with trio.CancelScope() as scope:
         async with trio.open_nursery() as nursery:
             await nursery.start(root.run)
             task_status.started(scope)
 
 
-def test_noise_and_a_flood_on_the_port_are_counted_and_believed_in_nothing():
+def test_noise_and_a_flood_on_the_port_are_counted_and_ignored():
     async def main():
         network = MemoryNetwork()
-        one, stranger = (
+        root, stranger = (
             service(network, 1, []),
             service(network, 2, ["root:101"], key=b"some other fleet's key"),
         )
         async with trio.open_nursery() as nursery:
-            await nursery.start(one.run)
+            await nursery.start(root.run)
             await nursery.start(stranger.run)
             noise = await network.datagrams("noise:1")
             for n in range(6000):
@@ -108,20 +108,20 @@
                 if n % 200 == 0:
                     await trio.sleep(0.001)
             await trio.sleep(5)
-            assert one.member_statuses() == [] and one.dropped["tag"] >= 1
+            assert root.member_statuses() == [] and root.dropped["tag"] >= 1
             assert (
-                one.dropped["fleet"] > 100
-                and one.dropped["stranger"] > 100
-                and one.dropped["flood"] > 100
+                root.dropped["fleet"] > 100
+                and root.dropped["stranger"] > 100
+                and root.dropped["flood"] > 100
             )
             nursery.cancel_scope.cancel()
 
-    virtual(main)
+    run_on_virtual_clock(main)
 
 
-def test_a_late_comer_gets_all_at_once_over_a_stream_with_ages_that_hold():
-    """Envelopes carry 700 bytes of facts: all that 12 roots with 40 facts each say would take
-    minutes by them.
+def test_a_late_joiner_gets_all_facts_over_a_stream_with_valid_ages():
+    """Guards against a slow join: an envelope carries 700 bytes of facts, so the 480 facts of 12
+    roots would take minutes by datagrams alone.
     """
 
     async def main():
@@ -132,52 +132,55 @@
                 for key in range(40):
                     root.publish(f"k{key}", b"x" * 200, 300_000_000)
             await trio.sleep(100)
-            late = await nursery.start(service(network, 50, ["root:100"]).run)
+            joiner = await nursery.start(service(network, 50, ["root:100"]).run)
             started = trio.current_time()
-            await until(lambda: len(alive(late)) == 12, 5)
-            await until(lambda: sum(len(late.known_facts(f"k{n}")) for n in range(40)) == 480, 5)
-            ages = [f.age_us / 1e6 for n in range(40) for f in late.known_facts(f"k{n}").values()]
-            spent = trio.current_time() - started
+            await until(lambda: len(alive(joiner)) == 12, 5)
+            await until(lambda: sum(len(joiner.known_facts(f"k{n}")) for n in range(40)) == 480, 5)
+            ages = [f.age_us / 1e6 for n in range(40) for f in joiner.known_facts(f"k{n}").values()]
+            elapsed = trio.current_time() - started
             assert (
-                min(ages) >= 100 and max(ages) <= (100 + spent) * 1.05 + 1
-            )  # the drift of two hops
+                min(ages) >= 100 and max(ages) <= (100 + elapsed) * 1.05 + 1
+            )  # allows for clock drift over two hops
             nursery.cancel_scope.cancel()
 
-    virtual(main)
+    run_on_virtual_clock(main)
+
 
+def test_a_replayed_full_state_is_rejected():
+    """Guards against replays that understate the age of facts.
 
-def test_an_exchange_recorded_earlier_brings_nothing():
-    """Guards against facts made young again: a whole counts only in answer to a stamp of this
-    exchange.
+    A full state must answer a stamp of the current exchange.
     """
 
     async def main():
         network = MemoryNetwork()
-        one, other = service(network, 1, []), service(network, 2, [])
+        root, other = service(network, 1, []), service(network, 2, [])
         async with trio.open_nursery() as nursery:
-            await nursery.start(one.run)
+            await nursery.start(root.run)
             await nursery.start(other.run)
             other.publish("demand", b"old", 60_000_000)
-            talk, code = other.protocol, other.codec
-            recorded = code.encode_full_state(
-                talk.full_state(now_us(), answers=now_us() - 1)
-            )  # as it went to somebody, once
+            protocol, codec = other.protocol, other.codec
+            recorded = codec.encode_full_state(
+                protocol.full_state(now_us(), answers=now_us() - 1)
+            )  # as sent in an earlier exchange
             await trio.sleep(20)
             stream = await network.open("root:101")
-            await exchange.write_message(stream, code.encode_full_state(talk.full_state(now_us())))
+            await exchange.write_message(
+                stream, codec.encode_full_state(protocol.full_state(now_us()))
+            )
             await exchange.read_message(stream)
             await exchange.write_message(stream, recorded)
             await trio.sleep(0.1)
-            assert one.dropped["stamp"] == 1
-            # By datagrams it hears of the fact by now, with the age that it has.
-            assert all(known.age_us >= 20_000_000 for known in one.known_facts("demand").values())
+            assert root.dropped["stamp"] == 1
+            # The fact may have arrived by datagram in the meantime, with its true age.
+            assert all(known.age_us >= 20_000_000 for known in root.known_facts("demand").values())
             nursery.cancel_scope.cancel()
 
-    virtual(main)
+    run_on_virtual_clock(main)
 
 
 @pytest.mark.parametrize(
-    "data, why",
+    "data, reason",
     [
         (b"\xff\xff\xff\xff" + bytes(100), "long"),
         (b"\x05\0\0\0GET /", "short"),
@@ -186,27 +189,29 @@
         (b"", "broken"),
     ],
 )
-def test_noise_on_the_stream_is_counted_and_costs_no_more_than_its_time(data, why):
+def test_invalid_and_silent_streams_are_counted_and_time_out(data, reason):
     async def main():
         network = MemoryNetwork()
-        one = service(network, 1, [])
+        root = service(network, 1, [])
         async with trio.open_nursery() as nursery:
-            await nursery.start(one.run)
+            await nursery.start(root.run)
             streams = [await network.open("root:101") for _ in range(30)]
             await trio.sleep(0.1)
-            assert one.dropped["callers"] == 22
+            assert root.dropped["callers"] == 22
             await streams[0].send_all(data)
             await streams[0].send_eof()
             await trio.sleep(0.1)
-            assert one.dropped[why] == 1
-            await trio.sleep(5)  # the rest said nothing in their time
-            assert one.dropped["broken"] == 7 + (why == "broken") and one.member_statuses() == []
+            assert root.dropped[reason] == 1
+            await trio.sleep(5)  # longer than the timeout of the silent streams
+            assert (
+                root.dropped["broken"] == 7 + (reason == "broken") and root.member_statuses() == []
+            )
             nursery.cancel_scope.cancel()
 
-    virtual(main)
+    run_on_virtual_clock(main)
 
 
-def test_a_view_names_what_a_root_believes_and_how_old_that_is():
+def test_a_view_contains_member_states_and_fact_ages():
     async def main():
         network = MemoryNetwork()
         async with trio.open_nursery() as nursery:
@@ -226,7 +231,7 @@
                 )
             nursery.cancel_scope.cancel()
 
-    virtual(main)
+    run_on_virtual_clock(main)
 
 
 def test_roots_on_loopback_find_each_other():
@@ -246,7 +251,7 @@
     trio.run(main)
 
 
-def test_datagrams_need_an_address_of_their_kind():
+def test_a_datagram_socket_needs_a_free_host_and_port():
     async def main():
         with pytest.raises(net.AddressError):
             await net.SocketNetwork().datagrams("unix:/tmp/x")
@@ -258,7 +263,7 @@
     trio.run(main)
 
 
-def test_a_root_that_serves_speaks_with_its_peers():
+def test_a_serving_root_joins_its_peers():
     async def test(world):
         other = service(world.network, 9, ["peer:1"])
         await world.nursery.start(other.run)
