--- a/mothnotch/peers/exchange.py
+++ b/mothnotch/peers/exchange.py
@@ -84,7 +84,7 @@
     now_us: Callable[[], int],
     make_view: Callable[[int], View],
 ) -> None:
-    """Serve one stream: a full state sync, or a request for a view, which `view(number)` returns.
+    """Serve one stream: a full state sync, or a request for a view, made by `make_view(number)`.
 
     Raise one of EXCHANGE_ERRORS on failure.
     """
--- a/mothnotch/peers/fleet_views.py
+++ b/mothnotch/peers/fleet_views.py
@@ -8,7 +8,7 @@
 from mothnotch.peers.codec import Codec
 from mothnotch.peers.wire import PeerView, View
 
-MAX_CONCURRENT_REQUESTS = 16  # concurrent requests
+MAX_CONCURRENT_REQUESTS = 16
 MAX_ROOTS = 256  # roots queried in total; the same bound as for a membership table
 
 
