--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -115,7 +115,7 @@
         async with trio.open_nursery() as nursery:
             made = root.NodeRoot(read(text.encode()), SocketNetwork(), log.Log())
             await nursery.start(made.run)
-            take, post = made.pool.answers.take_frame, made.core.post
+            take, post = made.pool.answer_reader.take_frame, made.core.post
 
             def taking(link, letter, rest, at_us):
                 found["at"], found["now"] = at_us, int(trio.current_time() * 1e6)
@@ -126,7 +126,7 @@
                     told.append((event.latency_us, found["now"] - found["at"]))
                 post(event)
 
-            made.pool.answers.take_frame, made.core.post = taking, posting
+            made.pool.answer_reader.take_frame, made.core.post = taking, posting
             ours.send(made.addresses[0])
             SPENT.clear()
             began = time.process_time()
--- a/mothnotch/node/answer_reader.py
+++ b/mothnotch/node/answer_reader.py
@@ -5,7 +5,7 @@
 from mothnotch.node import frames
 from mothnotch.node.call_context import CallContext
 from mothnotch.node.cancellation import Cancellation
-from mothnotch.node.closing import LeafClose
+from mothnotch.node.closing import LeafCloseReason
 from mothnotch.node.leaf_connection import LeafConnection
 
 READ_BYTES = 1 << 15  # read at once: bounds what one connection takes of a pass of the scheduler
@@ -22,11 +22,11 @@
 
     async def read(self, connection: LeafConnection):
         """Take in what the leaf sends until the stream ends, then close the connection."""
-        reason = LeafClose.ENDED
+        reason = LeafCloseReason.ENDED
         try:
             await self._read_frames(connection)
         except frames.FrameError as error:
-            reason = LeafClose.SPOILT
+            reason = LeafCloseReason.SPOILT
             self.context.counts["spoilt"] += 1
             self.context.log.warning(
                 "leaf broke the protocol", leaf=connection.leaf.name, error=str(error)
@@ -36,7 +36,7 @@
         except Exception as error:
             # A defect of the root's must cost this connection's parts, not every client of this
             # root.
-            reason = LeafClose.DEFECT
+            reason = LeafCloseReason.DEFECT
             self.context.log.error(
                 "unexpected error", leaf=connection.leaf.name, error=repr(error), exc_info=True
             )
@@ -51,7 +51,7 @@
             found, error = connection.reader.feed(data)
             if found:
                 # Bytes alone don't count as heard: an answer that never ends lets none through.
-                connection.heard_us = int(at_s * 1e6)
+                connection.last_frame_us = int(at_s * 1e6)
             for letter, rest in found:
                 self.take_frame(connection, letter, rest, int(at_s * 1e6))
             if error is not None:
@@ -65,12 +65,16 @@
             sent_us, post = connection.health_checks.popleft()
             result = Result.ERROR if rest == b"bad" else Result.OK
             latency_us = max(0, at_us - sent_us)
-            post(HealthCheckEnded(connection.leaf.name, result, latency_us, frames.report(rest)))
+            post(
+                HealthCheckEnded(
+                    connection.leaf.name, result, latency_us, frames.decode_report(rest)
+                )
+            )
         else:
             raise frames.FrameError(f"an unexpected frame {letter!r}: {rest[:80]!r}")
 
     def _take_answer(self, connection, rest, at_us):
-        answer = frames.answer(rest)
+        answer = frames.decode_answer(rest)
         wire_id = answer.wire_id
         attempt = connection.in_flight.pop(wire_id, None)
         if attempt is None:
@@ -81,6 +85,6 @@
             connection.in_flight[wire_id] = attempt
             raise frames.FrameError("an answer to what has not gone out")
         else:
-            self.context.hearing.record_latency(at_us - attempt.sent_us)
+            self.context.silence_detector.record_latency(at_us - attempt.sent_us)
             attempt.complete(RESULTS[answer.end], answer.value, answer.report, at_us)
         connection.on_attempt_removed()
--- a/mothnotch/node/call_context.py
+++ b/mothnotch/node/call_context.py
@@ -1,4 +1,4 @@
-"""What the modules of the leaf side share: limits, clocks of silence, counters and records."""
+"""State shared by the modules that talk to leaves: limits, silence detection, counters, trace."""
 
 from dataclasses import dataclass, field
 
@@ -23,20 +23,21 @@
 
 @dataclass(slots=True, eq=False)
 class CallContext:
-    """Shared by a connection pool, its writer, its reader and its cancellation.
+    """The state that a connection pool shares with its connector, writer, reader and cancellation.
 
-    `streams`: parts that a leaf works on at once on one connection. `per_call`: parts in one frame
-    at most. `allows_copies`: whether two attempts of a part may be at leaves at the same time.
+    `max_streams`: how many parts of one connection a leaf processes concurrently.
+    `max_parts_per_call`: the maximum number of parts in one call frame. `hedging_allowed`: whether
+    two attempts of one part may be at leaves at the same time.
     """
 
     network: object
     log: object
-    streams: int
-    per_call: int
-    allows_copies: bool
+    max_streams: int
+    max_parts_per_call: int
+    hedging_allowed: bool
     violations: Violations
     trace: Trace
-    hearing: connection_policy.SilenceDetector = field(
+    silence_detector: connection_policy.SilenceDetector = field(
         default_factory=connection_policy.SilenceDetector
     )
     counts: dict[str, int] = field(default_factory=_counts)
--- a/mothnotch/node/call_writer.py
+++ b/mothnotch/node/call_writer.py
@@ -7,7 +7,7 @@
 from mothnotch.decisions.invariants import DEADLINE_SLACK_S, Invariant
 from mothnotch.node import frames
 from mothnotch.node.call_context import CallContext
-from mothnotch.node.leaf_connection import FrameSpan, LeafConnection
+from mothnotch.node.leaf_connection import LeafConnection, UnsentFrame
 
 
 class CallWriter:
@@ -18,8 +18,8 @@
         self.context = context
 
     @staticmethod
-    def held_back(
-        attempt, now_s: float, takes_new: bool = True, not_now: bool = False
+    def withheld_result(
+        attempt, now_s: float, takes_new: bool = True, temporarily_blocked: bool = False
     ) -> Result | None:
         """Return how an attempt that was queued ends if it may not go (on) any more, else None.
 
@@ -31,7 +31,7 @@
             attempt.is_superseded,
             attempt.past_retry_window,
             attempt.deadline - now_s,
-            not_now,
+            temporarily_blocked,
         )
 
     def write(self, connection: LeafConnection, attempts: list):
@@ -42,11 +42,12 @@
         for attempt in attempts:
             if attempt.ended:
                 continue
-            result = self.held_back(
+            result = self.withheld_result(
                 attempt,
                 now_s,
                 connection.leaf.takes_new and connection.address == connection.leaf.address,
-                self._client_may_be_gone(attempt) or attempt.exceeds_retry_budget(sending),
+                self._client_may_have_disconnected(attempt)
+                or attempt.exceeds_retry_budget(sending),
             )
             if result is not None:
                 self.context.counts["held_back"] += 1
@@ -54,17 +55,17 @@
                 continue
             connection.in_flight[attempt.call.wire_id] = attempt
             sending.append(attempt)
-            parts.append(self._part(attempt, now_s))
+            parts.append(self._call_part(attempt, now_s))
         if sending:
             self.context.counts["frames"] += 1
-            data = frames.call(parts)
-            begin_bytes = connection.written_bytes
+            data = frames.encode_call(parts)
+            begin_offset = connection.written_bytes
             connection.unsent_frames.append(
-                FrameSpan(begin_bytes, begin_bytes + len(data), sending)
+                UnsentFrame(begin_offset, begin_offset + len(data), sending)
             )
             connection.send(data)
 
-    def _client_may_be_gone(self, attempt):
+    def _client_may_have_disconnected(self, attempt):
         """Whether the client of an attempt has disconnected, where that may lie unread: after a
         stall of the root's.
         """
@@ -73,7 +74,7 @@
             and attempt.part.query.has_disconnected()
         )
 
-    def _part(self, attempt, now_s):
+    def _call_part(self, attempt, now_s):
         """What the frame says of an attempt: its deadline as milliseconds from now, never 0, as a
         leaf would read that as none.
         """
--- a/mothnotch/node/cancellation.py
+++ b/mothnotch/node/cancellation.py
@@ -1,7 +1,7 @@
 """Cancels attempts that nobody waits for any more, and knows which of them a leaf may still run.
 
 A cancelled id is abandoned: it stays known, and keeps its place on the connection, until the leaf
-has answered it. Bound: ABANDONED_MOST on a connection, past which it takes nothing new.
+has answered it. Bound: MAX_ABANDONED on a connection, past which it takes nothing new.
 """
 
 import trio
@@ -11,12 +11,12 @@
 from mothnotch.decisions.invariants import Invariant
 from mothnotch.node import frames
 from mothnotch.node.call_context import CallContext
-from mothnotch.node.closing import LeafClose
+from mothnotch.node.closing import LeafCloseReason
 from mothnotch.node.leaf_connection import CallHandle, LeafConnection
 
 # Ids abandoned on one connection, with which it takes nothing new: a leaf that answers no cancelled
 # call must not grow the table without end.
-ABANDONED_MOST = 1024
+MAX_ABANDONED = 1024
 
 
 class Cancellation:
@@ -37,7 +37,7 @@
             return
         if connection.dead or connection.in_flight.get(call.wire_id) is not attempt:
             return
-        full = len(connection.in_flight) >= self.context.streams
+        full = len(connection.in_flight) >= self.context.max_streams
         del connection.in_flight[call.wire_id]
         self.context.counts["given_up"] += 1
         if call.sent and not connection.retired:
@@ -45,13 +45,13 @@
         if not call.sent or self._needs_close(connection, attempt, full):
             # Of a frame that is partly sent none may run; of one that is sent, only a close is
             # quick enough.
-            connection.close(LeafClose.GIVEN_UP)
+            connection.close(LeafCloseReason.GIVEN_UP)
             return
         self._abandon(connection, call.wire_id)
-        connection.send(frames.cancel(call.wire_id))
+        connection.send(frames.encode_cancel(call.wire_id))
         if self._needs_close(connection, attempt, False):
             # The message wasn't sent at once: another attempt would overtake it.
-            connection.close(LeafClose.GIVEN_UP)
+            connection.close(LeafCloseReason.GIVEN_UP)
             return
         connection.on_attempt_removed()
 
@@ -78,10 +78,10 @@
         cannot read that it is cancelled.
         """
         earlier = self.abandoned_on.get(attempt.call.wire_id)
-        if earlier is None or self.context.allows_copies:
+        if earlier is None or self.context.hedging_allowed:
             return
         taken = len(earlier.in_flight) + len(earlier.abandoned)
-        unread = earlier.sending or taken >= self.context.streams
+        unread = earlier.sending or taken >= self.context.max_streams
         self.context.violations.check(
             not unread,
             Invariant.SECOND_COPY,
@@ -93,7 +93,9 @@
     def _retire_if_silent(self, connection, attempt):
         """Have what is sent next open a connection of its own if this one has fallen silent."""
         now_us = int(trio.current_time() * 1e6)
-        if self.context.hearing.is_silent(attempt.sent_us, connection.heard_us, now_us):
+        if self.context.silence_detector.is_silent(
+            attempt.sent_us, connection.last_frame_us, now_us
+        ):
             connection.retired = True
             self.context.counts["silent"] += 1
 
@@ -102,7 +104,7 @@
             full,
             connection.sending,
             attempt.part.query.outcome is not None,
-            self.context.allows_copies,
+            self.context.hedging_allowed,
         )
 
     def _abandon(self, connection, wire_id):
@@ -118,6 +120,6 @@
                 given_up=len(connection.abandoned),
                 waits=connection.sending,
             )
-        if len(connection.abandoned) >= ABANDONED_MOST:
+        if len(connection.abandoned) >= MAX_ABANDONED:
             # None is forgotten: its late answer would count as a broken protocol.
             connection.retired = True
--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -13,7 +13,7 @@
 from mothnotch.net.write_buffer import BufferedWriter
 from mothnotch.node import requests
 from mothnotch.node.arrival_times import ArrivalTimes
-from mothnotch.node.closing import ClientClose
+from mothnotch.node.closing import ClientCloseReason
 
 # Read at once.
 READ_BYTES = 1 << 15
@@ -83,7 +83,7 @@
         cannot be read.
         """
         if not data:
-            self.connections.close(self, ClientClose.LEFT)
+            self.connections.close(self, ClientCloseReason.LEFT)
             return
         if self.closing:
             self._discard(data)
@@ -127,7 +127,7 @@
         """Count what comes behind the last answer; too much of it ends the connection."""
         self.discarded_bytes += len(data)
         if self.lingering and self.discarded_bytes > DISCARD_BYTES:
-            self.connections.close(self, ClientClose.TOO_MUCH_BEHIND)
+            self.connections.close(self, ClientCloseReason.TOO_MUCH_BEHIND)
 
     def _receive(self, data, at_s):
         """Hand data to h11, and note when it came."""
@@ -253,7 +253,7 @@
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
             self.answer(status, requests.encode({"error": text[:200]}), close=True)
         else:
-            self.connections.close(self, ClientClose.DEFECT)
+            self.connections.close(self, ClientCloseReason.DEFECT)
 
     def on_write_drained(self):
         """Go on after an answer that had to wait for its socket."""
@@ -264,4 +264,4 @@
 
     def on_connection_lost(self):
         """Close it, as its stream is lost."""
-        self.connections.close(self, ClientClose.LEFT)
+        self.connections.close(self, ClientCloseReason.LEFT)
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -15,7 +15,7 @@
 from mothnotch.net import CONNECTION_LOST_ERRORS, shut
 from mothnotch.node import requests
 from mothnotch.node.client_connection import READ_BYTES, ClientConnection
-from mothnotch.node.closing import ClientClose
+from mothnotch.node.closing import ClientCloseReason
 from mothnotch.node.frontend_context import FrontendContext
 from mothnotch.node.request_handler import RequestHandler
 
@@ -31,7 +31,7 @@
         self.context = context
         self.handler = handler
         self.clients = {}  # as keys, in the order they came
-        self.closed = dict.fromkeys(ClientClose, 0)
+        self.closed = dict.fromkeys(ClientCloseReason, 0)
 
     def add(self, client: ClientConnection):
         """Add a connection that was accepted; past the share of clients, some go for it."""
@@ -70,7 +70,7 @@
         except Exception as again:
             self.context.log.error("unexpected error", error=repr(again))
         if not client.lingering:
-            self.close(client, ClientClose.DEFECT)
+            self.close(client, ClientCloseReason.DEFECT)
 
     # ---- ends ----
 
@@ -83,9 +83,9 @@
         try:
             self.context.network.end(client.stream)
         except CONNECTION_LOST_ERRORS:
-            self.close(client, ClientClose.LEFT)
+            self.close(client, ClientCloseReason.LEFT)
 
-    def close(self, client: ClientConnection, reason: ClientClose):
+    def close(self, client: ClientConnection, reason: ClientCloseReason):
         """Close a connection. Its open request is given up; of its own accord the root closes none
         that has one.
         """
@@ -94,7 +94,7 @@
         client.dead = True
         self.closed[reason] += 1
         core = self.context.core
-        if reason.by_root and reason is not ClientClose.DEFECT:
+        if reason.initiated_by_root and reason is not ClientCloseReason.DEFECT:
             core.violations.check(
                 client.query is None,
                 Invariant.CLOSED_UNANSWERED,
@@ -135,12 +135,12 @@
             if len(self.clients) <= share.max_clients:
                 break
             if client.lingering:
-                self.close(client, ClientClose.LAST_ANSWER)
+                self.close(client, ClientCloseReason.LAST_ANSWER)
             elif self.nothing_unread(client):
                 self.context.counts["shed"] += 1
                 if not client.served:
                     client.fail(503, "too many connections")
-                self.close(client, ClientClose.SHED)
+                self.close(client, ClientCloseReason.SHED)
 
     def close_idle(self):
         """Close what is idle and has been served, as the root stops."""
@@ -151,7 +151,7 @@
                 and not client.lingering
                 and self.nothing_unread(client)
             ):
-                self.close(client, ClientClose.STOPPING)
+                self.close(client, ClientCloseReason.STOPPING)
 
     async def sweep(self):
         """End, until cancelled, the connections that are past their time."""
@@ -168,8 +168,8 @@
         if client.partial and not client.closing:
             client.fail(408, "the request did not come whole in time")
         elif client.lingering:
-            self.close(client, ClientClose.LAST_ANSWER)
+            self.close(client, ClientCloseReason.LAST_ANSWER)
         elif client.unsent:
-            self.close(client, ClientClose.ANSWER_NOT_TAKEN)
+            self.close(client, ClientCloseReason.ANSWER_NOT_TAKEN)
         elif self.nothing_unread(client):
-            self.close(client, ClientClose.IDLE)
+            self.close(client, ClientCloseReason.IDLE)
--- a/mothnotch/node/closing.py
+++ b/mothnotch/node/closing.py
@@ -3,7 +3,7 @@
 from enum import Enum
 
 
-class ClientClose(Enum):
+class ClientCloseReason(Enum):
     """Why the connection of a client was closed."""
 
     LEFT = "the client ended or reset it"
@@ -16,12 +16,12 @@
     DEFECT = "an unexpected error"
 
     @property
-    def by_root(self) -> bool:
+    def initiated_by_root(self) -> bool:
         """Return whether the root closed it of its own accord."""
-        return self is not ClientClose.LEFT
+        return self is not ClientCloseReason.LEFT
 
 
-class LeafClose(Enum):
+class LeafCloseReason(Enum):
     """Why the connection to a leaf was closed."""
 
     CONNECT_FAILED = "no connection came up"
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -2,7 +2,7 @@
 
 What an attempt ends with follows the platform's table; it turns on whether the last byte of its
 frame was taken by the socket: before that it never ran (UNREACHABLE), from then on it may have
-(BROKEN, TIMEOUT). Bounds: `places` parts on a connection, queued, in flight or abandoned;
+(BROKEN, TIMEOUT). Bounds: `max_in_flight` parts on a connection, queued, in flight or abandoned;
 `max_connections` in all, past which an attempt ends UNSENT and the module is asked again.
 """
 
@@ -18,7 +18,7 @@
 from mothnotch.node.call_context import CallContext
 from mothnotch.node.call_writer import CallWriter
 from mothnotch.node.cancellation import Cancellation
-from mothnotch.node.closing import LeafClose
+from mothnotch.node.closing import LeafCloseReason
 from mothnotch.node.connector import Connector
 from mothnotch.node.leaf_connection import CallHandle, Leaf, LeafConnection
 from mothnotch.root.trace import Trace
@@ -33,38 +33,42 @@
         self,
         network,
         log,
-        streams: int,
-        per_call: int,
+        max_streams: int,
+        max_parts_per_call: int,
         max_connections: int,
-        idle_s: float,
-        connect_s: float,
-        allows_copies: bool = False,
+        idle_timeout_s: float,
+        connect_timeout_s: float,
+        hedging_allowed: bool = False,
     ):
-        """`streams`: parts a leaf works on at once on one connection. `per_call`: parts in one
-        frame. `idle_s`: a connection idle for so long is closed. `connect_s`: for making one.
-        `allows_copies`: whether two attempts of a part may be at leaves at the same time.
+        """Create a pool without leaves.
+
+        `max_streams`: how many parts of one connection a leaf processes concurrently.
+        `max_parts_per_call`: the maximum number of parts in one call frame. `max_connections`: the
+        maximum number of connections to all leaves. `idle_timeout_s`: after which an idle
+        connection is closed. `hedging_allowed`: whether two attempts of one part may be at leaves
+        at the same time.
         """
-        self.places = connection_policy.max_in_flight(streams)
+        self.max_in_flight = connection_policy.max_in_flight(max_streams)
         self.context = CallContext(
             network,
             log,
-            streams,
-            max(1, min(per_call, self.places)),
-            allows_copies,
+            max_streams,
+            max(1, min(max_parts_per_call, self.max_in_flight)),
+            hedging_allowed,
             Violations(log.error),
             Trace(),
         )
         self.counts = self.context.counts
         self.max_connections = max_connections
-        self.idle_s = idle_s
+        self.idle_timeout_s = idle_timeout_s
         self.leaves = {}
         self.connections = {}  # as keys: those not closed, in the order they were begun
         self.writer = CallWriter(self.context)
         self.cancellation = Cancellation(self.context)
-        self.answers = AnswerReader(self.context, self.cancellation)
-        self.connector = Connector(self.context, self.answers, connect_s)
+        self.answer_reader = AnswerReader(self.context, self.cancellation)
+        self.connector = Connector(self.context, self.answer_reader, connect_timeout_s)
         self.timeouts = Timeouts(self.cancellation.on_timeout)
-        self.closed = dict.fromkeys(LeafClose, 0)
+        self.close_counts = dict.fromkeys(LeafCloseReason, 0)
 
     def report_to(self, violations: Violations, trace: Trace):
         """Have broken invariants and the record of events go to the core's, once there is one."""
@@ -98,30 +102,30 @@
                 known = self.leaves[leaf.name] = Leaf(leaf.name, leaf.address)
             elif known.address != leaf.address:
                 known.address = leaf.address
-                self._retire(known)
+                self._retire_connections(known)
             known.takes_new = leaf.state == "up"
             if not known.takes_new:
-                self._withdraw(known)
+                self._withdraw_unsent(known)
         for name in removed:
             leaf = self.leaves.pop(name, None)
             if leaf is not None:
                 leaf.takes_new = False
-                self._retire(leaf)
+                self._retire_connections(leaf)
 
-    def _withdraw(self, leaf):
+    def _withdraw_unsent(self, leaf):
         """Have decided anew what was decided before the watch event and isn't sent."""
         for connection in list(leaf.connections):
             connection.requeue_unsent()
-            connection.drop_queued(Result.UNSENT)
+            connection.complete_queued(Result.UNSENT)
 
-    def _retire(self, leaf):
+    def _retire_connections(self, leaf):
         """Send nothing more on a leaf's connections, nor what is queued for them; they are closed
         once nothing is in flight on them.
         """
-        self._withdraw(leaf)
+        self._withdraw_unsent(leaf)
         for connection in list(leaf.connections):
             connection.retired = True
-            connection.close_if_idle(LeafClose.RETIRED)
+            connection.close_if_idle(LeafCloseReason.RETIRED)
 
     # ---- sending ----
 
@@ -134,11 +138,11 @@
             return
         for attempt in attempts:
             self.timeouts.put(attempt)
-        per_call = self.context.per_call
-        for first in range(0, len(attempts), per_call):
-            self.place(leaf, attempts[first : first + per_call])
+        max_parts_per_call = self.context.max_parts_per_call
+        for first in range(0, len(attempts), max_parts_per_call):
+            self.enqueue(leaf, attempts[first : first + max_parts_per_call])
 
-    def place(self, leaf: Leaf, attempts: list):
+    def enqueue(self, leaf: Leaf, attempts: list):
         """Queue one call's attempts on a connection, a new one if need be; without a place for a
         new one they end UNSENT.
         """
@@ -163,17 +167,17 @@
         may still come for; None if there is none.
         """
         for connection in list(leaf.connections):
-            taken = connection.load + len(connection.abandoned)
-            if connection.retired or taken + len(wire_ids) > self.places:
+            taken = connection.attempt_count + len(connection.abandoned)
+            if connection.retired or taken + len(wire_ids) > self.max_in_flight:
                 # What was abandoned keeps its place until its leaf is done with it. With nothing
                 # else on it, the connection is closed for the new one.
-                if not connection.load and connection.abandoned:
-                    connection.close(LeafClose.PLACES_TAKEN)
+                if not connection.attempt_count and connection.abandoned:
+                    connection.close(LeafCloseReason.PLACES_TAKEN)
                 continue
-            if not connection.load and connection_policy.idle_expired(
-                trio.current_time() - connection.idle_since, self.idle_s
+            if not connection.attempt_count and connection_policy.idle_expired(
+                trio.current_time() - connection.idle_since_s, self.idle_timeout_s
             ):
-                connection.close(LeafClose.IDLE)
+                connection.close(LeafCloseReason.IDLE)
             elif not any(
                 wire_id in connection.abandoned or wire_id in connection.in_flight
                 for wire_id in wire_ids
@@ -190,12 +194,12 @@
 
     # ---- connections closed ----
 
-    def close_connection(self, connection: LeafConnection, reason: LeafClose):
+    def close_connection(self, connection: LeafConnection, reason: LeafCloseReason):
         """Close a connection: what was sent on it is reset, the rest never ran."""
         if connection.dead:
             return
         connection.dead = True
-        self.closed[reason] += 1
+        self.close_counts[reason] += 1
         self._trace_closed(connection, reason)
         self.cancellation.on_closed(connection)
         del self.connections[connection]
@@ -206,7 +210,7 @@
         connection.in_flight = {}
         for attempt in attempts.values():
             attempt.complete(Result.BROKEN if attempt.call.sent else Result.UNREACHABLE)
-        connection.drop_queued(Result.UNREACHABLE)
+        connection.complete_queued(Result.UNREACHABLE)
         while connection.health_checks:
             _sent_us, post = connection.health_checks.popleft()
             post(HealthCheckEnded(connection.leaf.name, Result.BROKEN, 0, None))
@@ -215,7 +219,7 @@
         """Close the idle connections to a leaf."""
         leaf = self.leaves.get(name)
         for connection in list(leaf.connections) if leaf else ():
-            connection.close_if_idle(LeafClose.ASKED)
+            connection.close_if_idle(LeafCloseReason.ASKED)
 
     def _close_longest_idle(self):
         """At the limit of connections, close the longest idle one, if any has been idle for long
@@ -223,25 +227,27 @@
         """
         now_s = trio.current_time()
         idle = [
-            (connection.idle_since, connection)
+            (connection.idle_since_s, connection)
             for connection in self.connections
             if connection.stream is not None
-            and not connection.load
+            and not connection.attempt_count
             and not connection.health_checks
         ]
         connection = connection_policy.idle_connection_to_close(idle, now_s)
         if connection is not None:
-            connection.close(LeafClose.SHARE)
+            connection.close(LeafCloseReason.SHARE)
 
     async def _close_idle_connections(self):
         """Close, until cancelled, connections that nobody used for long."""
         while True:
-            await trio.sleep(connection_policy.idle_check_interval_s(self.idle_s))
+            await trio.sleep(connection_policy.idle_check_interval_s(self.idle_timeout_s))
             now_s = trio.current_time()
             for leaf in list(self.leaves.values()):
                 for connection in list(leaf.connections):
-                    if connection_policy.idle_expired(now_s - connection.idle_since, self.idle_s):
-                        connection.close_if_idle(LeafClose.IDLE)
+                    if connection_policy.idle_expired(
+                        now_s - connection.idle_since_s, self.idle_timeout_s
+                    ):
+                        connection.close_if_idle(LeafCloseReason.IDLE)
 
     def _trace_closed(self, connection, reason):
         if self.context.trace.enabled:
@@ -261,11 +267,11 @@
         check. Its end goes to `post`.
         """
         connection = self._connection_for_health_check(name)
-        if connection is None or len(connection.health_checks) >= self.context.streams:
+        if connection is None or len(connection.health_checks) >= self.context.max_streams:
             post(HealthCheckEnded(name, Result.UNSENT, 0, None))
             return
         connection.health_checks.append((int(trio.current_time() * 1e6), post))
-        connection.send(frames.frame(b"p"))
+        connection.send(frames.encode_frame(b"p"))
 
     def _connection_for_health_check(self, name):
         leaf = self.leaves.get(name)
--- a/mothnotch/node/frames.py
+++ b/mothnotch/node/frames.py
@@ -1,5 +1,7 @@
-"""Frames between root and leaf, without I/O: four bytes of length, least significant first, a
-letter, the rest.
+"""Encode and decode the frames between a root and its leaves, without I/O.
+
+A frame is its length in four bytes, little-endian, a one-letter type and a body. The length counts
+the type and the body.
 """
 
 import re
@@ -7,23 +9,26 @@
 
 import msgspec
 
-# The longest frame taken; checked before anything of it is buffered.
-LIMIT_BYTES = 1 << 16
-# The longest line of an answer: a leaf that never ends one is found out soon.
-LINE_BYTES = 512
-LENGTH = struct.Struct("<I")
-ENDS = ("good", "bad", "later")
-LETTERS = b"opqr"  # what a leaf sends
-ID = re.compile(rb"[0-9A-Za-z._:-]{1,160}")
-NUMBER = re.compile(rb"-?[0-9]{1,20}")
+# Maximum length of a received frame, checked before any of it is buffered.
+MAX_FRAME_BYTES = 1 << 16
+# Maximum length of the first line of an answer, so that a missing line feed is detected early.
+MAX_LINE_BYTES = 512
+LENGTH_PREFIX = struct.Struct("<I")
+ANSWER_STATUSES = ("good", "bad", "later")
+LEAF_FRAME_TYPES = b"opqr"  # frame types that a leaf may send
+WIRE_ID = re.compile(rb"[0-9A-Za-z._:-]{1,160}")
+INTEGER = re.compile(rb"-?[0-9]{1,20}")
 
 
 class FrameError(ValueError):
-    """What came is no frame, or no answer: the connection is of no further use."""
+    """A received frame or answer is malformed; the connection can no longer be used."""
 
 
 class CallPart(msgspec.Struct, frozen=True, gc=False):
-    """A part as a call states it: `deadline_ms` from now, `key` if it is idempotent by key."""
+    """One part of a call.
+
+    `deadline_ms`: time until the deadline. `key`: the idempotency key, or None.
+    """
 
     wire_id: str
     shard: int
@@ -33,7 +38,10 @@
 
 
 class LeafAnswer(msgspec.Struct, frozen=True):
-    """A leaf's answer to a part; `end` is one of ENDS, `report` its load by name if it gave one."""
+    """A leaf's answer to a part.
+
+    `end`: the status, one of `ANSWER_STATUSES`. `report`: the leaf's load metrics by name, or None.
+    """
 
     wire_id: str
     end: str
@@ -41,91 +49,93 @@
     value: str
 
 
-def frame(letter: bytes, rest: bytes = b"") -> bytes:
-    """Return the bytes of a frame."""
-    return LENGTH.pack(1 + len(rest)) + letter + rest
+def encode_frame(frame_type: bytes, body: bytes = b"") -> bytes:
+    """Return a frame of the given type and body."""
+    return LENGTH_PREFIX.pack(1 + len(body)) + frame_type + body
 
 
-def call(parts: list[CallPart]) -> bytes:
-    """Return the frame that asks a leaf for these parts."""
-    rest = []
+def encode_call(parts: list[CallPart]) -> bytes:
+    """Return the call frame that requests these parts from a leaf."""
+    chunks = []
     for part in parts:
         options = f"d={part.deadline_ms}"
         if part.key is not None:
             options += f",k={part.key}"
         line = f"{part.wire_id} {part.shard} {options} {len(part.text)}\n"
-        rest += (line.encode(), part.text)
-    return frame(b"m", b"".join(rest))
+        chunks += (line.encode(), part.text)
+    return encode_frame(b"m", b"".join(chunks))
 
 
-def cancel(wire_id: str) -> bytes:
+def encode_cancel(wire_id: str) -> bytes:
     """Return the frame that cancels a part."""
-    return frame(b"n", wire_id.encode())
+    return encode_frame(b"n", wire_id.encode())
+
 
+class FrameReader:
+    """Splits a byte stream into frames.
 
-class Reader:
-    """Cuts what comes into frames. It never holds more than one frame's limit beside what it was
-    fed.
+    Memory is bounded by one frame of maximum length plus the data of one `feed`.
     """
 
-    def __init__(self, limit_bytes: int = LIMIT_BYTES):
-        """`limit_bytes`: the longest frame taken, without its length."""
-        self.limit_bytes = limit_bytes
+    def __init__(self, max_frame_bytes: int = MAX_FRAME_BYTES):
+        """`max_frame_bytes`: the maximum value of a frame's length field."""
+        self.max_frame_bytes = max_frame_bytes
         self.buffered = b""
 
     def feed(self, data: bytes) -> tuple[list[tuple[bytes, bytes]], FrameError | None]:
-        """Return the whole frames in what has come, (letter, rest), and the error of the first that
-        cannot be one, if any: the frames before it count.
+        """Return the frames completed by `data` as (type, body) pairs, and the first error or None.
+
+        The frames before an error are valid.
         """
         data = self.buffered + data if self.buffered else data
         start = 0
-        found = []
+        complete = []
         while len(data) - start >= 4:
-            length = LENGTH.unpack_from(data, start)[0]
-            if not 1 <= length <= self.limit_bytes:
+            length = LENGTH_PREFIX.unpack_from(data, start)[0]
+            if not 1 <= length <= self.max_frame_bytes:
                 self.buffered = b""
-                return found, FrameError(
-                    f"a frame of {length} bytes; 1 to {self.limit_bytes} are taken"
+                return complete, FrameError(
+                    f"frame of {length} bytes; 1 to {self.max_frame_bytes} are accepted"
                 )
-            body = start + 4
-            if len(data) > body and data[body] not in LETTERS:
-                return found, FrameError(f"an unknown letter {data[body : body + 1]!r}")
-            if len(data) - body < length:
+            type_at = start + 4
+            if len(data) > type_at and data[type_at] not in LEAF_FRAME_TYPES:
+                return complete, FrameError(f"unknown frame type {data[type_at : type_at + 1]!r}")
+            if len(data) - type_at < length:
                 break
-            found.append((data[body : body + 1], data[body + 1 : body + length]))
-            start = body + length
+            complete.append((data[type_at : type_at + 1], data[type_at + 1 : type_at + length]))
+            start = type_at + length
         self.buffered = data[start:]
-        return found, None
-
-
-def answer(rest: bytes) -> LeafAnswer:
-    """Return what the rest of a `q` frame says; raise FrameError if it is no answer."""
-    line, line_feed, value = rest.partition(b"\n")
-    if not line_feed or len(line) > LINE_BYTES:
-        raise FrameError("an answer whose line does not end")
-    words = line.split(b" ")
-    if len(words) != 4 or not ID.fullmatch(words[0]) or not NUMBER.fullmatch(words[2]):
-        raise FrameError("an answer whose line is not ID END SCORE REPORT")
-    end = words[1].decode("latin-1")
-    if end not in ENDS:
-        raise FrameError("an answer with an unknown end")
+        return complete, None
+
+
+def decode_answer(body: bytes) -> LeafAnswer:
+    """Decode the body of an answer frame; raise FrameError if it is malformed."""
+    line, line_feed, value = body.partition(b"\n")
+    if not line_feed or len(line) > MAX_LINE_BYTES:
+        raise FrameError("the first line of an answer is not terminated or too long")
+    fields = line.split(b" ")
+    if len(fields) != 4 or not WIRE_ID.fullmatch(fields[0]) or not INTEGER.fullmatch(fields[2]):
+        raise FrameError("the first line of an answer is not ID END SCORE REPORT")
+    end = fields[1].decode("latin-1")
+    if end not in ANSWER_STATUSES:
+        raise FrameError("unknown status in an answer")
     try:
         text = value.decode()
     except UnicodeDecodeError:
-        raise FrameError("an answer whose value is no text") from None
+        raise FrameError("the value of an answer is not valid UTF-8") from None
     if "\x00" in text:
-        # A length that is too large takes in the frame behind it, whose own length holds a zero
-        # byte.
-        raise FrameError("an answer whose value holds another frame")
-    return LeafAnswer(words[0].decode(), end, report(words[3]), text)
+        # A length that is too large includes the following frame, whose length field contains a
+        # zero byte.
+        raise FrameError("the value of an answer contains another frame")
+    return LeafAnswer(fields[0].decode(), end, decode_report(fields[3]), text)
 
 
-def report(word: bytes) -> dict[str, float] | None:
-    """Return a load report as numbers by name; None if there is none, or none that can be read."""
-    if word in (b"-", b"", b"bad"):
+def decode_report(field: bytes) -> dict[str, float] | None:
+    """Return a leaf's load metrics by name; None if the report is absent or malformed."""
+    if field in (b"-", b"", b"bad"):
         return None
     try:
-        pairs = [pair.split("=") for pair in word.decode().split(",")]
+        pairs = [pair.split("=") for pair in field.decode().split(",")]
         return {name: float(value) for name, value in pairs}
     except ValueError:
         return None
--- a/mothnotch/node/frontend.py
+++ b/mothnotch/node/frontend.py
@@ -10,7 +10,7 @@
 from mothnotch.net import CONNECTION_LOST_ERRORS, RETRY_PAUSE_S, serve
 from mothnotch.node.client_connection import DISCARD_BYTES, READ_BYTES, ClientConnection
 from mothnotch.node.client_connections import ClientConnections
-from mothnotch.node.closing import ClientClose
+from mothnotch.node.closing import ClientCloseReason
 from mothnotch.node.frontend_context import FrontendContext
 from mothnotch.node.request_handler import RequestHandler
 
@@ -43,13 +43,13 @@
         """The task of a connection."""
         client = ClientConnection(self.connections, self.handler, self.nursery, stream)
         self.connections.add(client)
-        reason = ClientClose.LEFT
+        reason = ClientCloseReason.LEFT
         try:
             await self._read_client(client)
         except CONNECTION_LOST_ERRORS:
             pass
         except Exception as error:
-            reason = ClientClose.DEFECT
+            reason = ClientCloseReason.DEFECT
             self.connections.on_defect(client, error)
         self.connections.close(client, reason)
 
--- a/mothnotch/node/leaf_connection.py
+++ b/mothnotch/node/leaf_connection.py
@@ -12,7 +12,7 @@
 from mothnotch.decisions.interface import Result
 from mothnotch.net.write_buffer import BufferedWriter
 from mothnotch.node import frames
-from mothnotch.node.closing import LeafClose
+from mothnotch.node.closing import LeafCloseReason
 
 
 class Leaf:
@@ -26,17 +26,17 @@
         self.connections = []
 
 
-class FrameSpan:
+class UnsentFrame:
     """A frame that isn't sent whole: its first byte and its end, counted from the first byte of
     the connection, and the attempts it carries.
     """
 
-    __slots__ = ("begin_bytes", "end_bytes", "attempts")
+    __slots__ = ("begin_offset", "end_offset", "attempts")
 
-    def __init__(self, begin_bytes: int, end_bytes: int, attempts: list):
+    def __init__(self, begin_offset: int, end_offset: int, attempts: list):
         """The end is exclusive."""
-        self.begin_bytes = begin_bytes
-        self.end_bytes = end_bytes
+        self.begin_offset = begin_offset
+        self.end_offset = end_offset
         self.attempts = attempts
 
 
@@ -46,7 +46,7 @@
     `in_flight`: attempts by wire id whose frame is written, or buffered for the socket.
     `abandoned`: wire ids cancelled whose answer may still come. `queued`: attempts none of whose
     bytes is sent, as there is no connection yet or the socket is full. `retired`: it takes nothing
-    new, and is closed once nothing is on it. `heard_us`: when a whole frame last came.
+    new, and is closed once nothing is on it. `last_frame_us`: when a whole frame last came.
     """
 
     __slots__ = (
@@ -60,9 +60,9 @@
         "written_bytes",
         "unsent_frames",
         "health_checks",
-        "idle_since",
+        "idle_since_s",
         "retired",
-        "heard_us",
+        "last_frame_us",
     )
 
     def __init__(self, pool, leaf: Leaf):
@@ -71,37 +71,37 @@
         self.pool = pool
         self.leaf = leaf
         self.address = leaf.address
-        self.reader = frames.Reader()
+        self.reader = frames.FrameReader()
         self.in_flight = {}
         self.abandoned = {}
         self.queued = []
         self.written_bytes = 0
         self.unsent_frames = deque()
         self.health_checks = deque()  # (sent_us, post) of those not answered, oldest first
-        self.idle_since = trio.current_time()
+        self.idle_since_s = trio.current_time()
         self.retired = False
-        self.heard_us = 0
+        self.last_frame_us = 0
 
     @property
-    def load(self) -> int:
+    def attempt_count(self) -> int:
         """Return how many attempts are in flight or queued here."""
         return len(self.in_flight) + len(self.queued)
 
-    def close(self, reason: LeafClose):
+    def close(self, reason: LeafCloseReason):
         """Close it; every attempt on it ends. Do nothing if it is closed."""
         self.pool.close_connection(self, reason)
 
-    def close_if_idle(self, reason: LeafClose):
+    def close_if_idle(self, reason: LeafCloseReason):
         """Close it if it is made and carries nothing."""
-        if self.stream is not None and not self.load:
+        if self.stream is not None and not self.attempt_count:
             self.close(reason)
 
     def on_attempt_removed(self):
         """Note the start of an idle time if nothing is left on it; close it then if retired."""
-        if not self.load and not self.dead:
-            self.idle_since = trio.current_time()
+        if not self.attempt_count and not self.dead:
+            self.idle_since_s = trio.current_time()
             if self.retired:
-                self.close(LeafClose.RETIRED)
+                self.close(LeafCloseReason.RETIRED)
 
     # ---- attempts not sent yet ----
 
@@ -110,7 +110,7 @@
         may be held back.
         """
         while self.queued and self.stream is not None and not self.sending and not self.dead:
-            most = self.pool.context.per_call
+            most = self.pool.context.max_parts_per_call
             attempts = self.queued[:most]
             self.queued = self.queued[most:]
             self.pool.writer.write(self, attempts)
@@ -120,15 +120,15 @@
         if not self.unsent_frames or self.dead:
             return
         frame = self.unsent_frames[0]
-        if frame.begin_bytes != self.written_bytes:
+        if frame.begin_offset != self.written_bytes:
             return
         self.unsent_frames.popleft()
-        del self.unsent[: frame.end_bytes - frame.begin_bytes]
+        del self.unsent[: frame.end_offset - frame.begin_offset]
         for attempt in frame.attempts:
             del self.in_flight[attempt.call.wire_id]
         self.queued[:0] = frame.attempts
 
-    def drop_queued(self, result: Result):
+    def complete_queued(self, result: Result):
         """End what is queued with this result: none of it is sent."""
         attempts = self.queued
         self.queued = []
@@ -150,13 +150,13 @@
         self.requeue_unsent()
         now_s = trio.current_time()
         if not any(
-            self.pool.writer.held_back(attempt, now_s)
+            self.pool.writer.withheld_result(attempt, now_s)
             for frame in self.unsent_frames
             for attempt in frame.attempts
         ):
             return False
         self.pool.context.counts["held_back"] += 1
-        self.close(LeafClose.WITHDRAWN)
+        self.close(LeafCloseReason.WITHDRAWN)
         return True
 
     def on_bytes_written(self, count: int, at_s: float):
@@ -166,12 +166,12 @@
         before_bytes = self.written_bytes
         self.written_bytes += count
         for frame in self.unsent_frames:
-            if before_bytes <= frame.begin_bytes < self.written_bytes:
+            if before_bytes <= frame.begin_offset < self.written_bytes:
                 for attempt in frame.attempts:
                     attempt.on_sending()
                     if self.pool.context.trace.enabled:
                         self._trace_sent(attempt, at_s)
-        while self.unsent_frames and self.unsent_frames[0].end_bytes <= self.written_bytes:
+        while self.unsent_frames and self.unsent_frames[0].end_offset <= self.written_bytes:
             for attempt in self.unsent_frames.popleft().attempts:
                 attempt.call.sent = True
                 self.pool.cancellation.check_second_copy(self, attempt)
@@ -179,7 +179,7 @@
 
     def on_connection_lost(self):
         """Close it, as its stream is lost."""
-        self.close(LeafClose.ENDED)
+        self.close(LeafCloseReason.ENDED)
 
     def _trace_sent(self, attempt, at_s):
         self.pool.context.trace.record(
--- a/mothnotch/node/root.py
+++ b/mothnotch/node/root.py
@@ -116,7 +116,7 @@
             "open_links": self.pool.open_count,
             "violations": self.core.violations.counts,
             "clients_closed": _by_name(connections.closed),
-            "leaf_connections_closed": _by_name(self.pool.closed),
+            "leaf_connections_closed": _by_name(self.pool.close_counts),
             "given_up_for": self.core.reason_counts,
         }
 
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -99,14 +99,14 @@
         assert await link.call() == ["stay.0"]
         r.network.full = b"m"
         client.now(request("r1", "read", (0,)))
-        (root_link,) = await links(r, home.name, lambda k: k.load == 2)
+        (root_link,) = await links(r, home.name, lambda k: k.attempt_count == 2)
         if end == "drain":
             await r.first.say(41, r.target(home, "Terminating"))
             await until(lambda: not r.root.pool.leaves[home.name].takes_new)
         else:
             client.leave()
             await until(lambda: r.root.core.counts["gone"])
-        await until(lambda: root_link.load == 1)  # it went back, the other part did not
+        await until(lambda: root_link.attempt_count == 1)  # it went back, the other part did not
         r.network.full = b""
         await link.nothing()
         await link.good("stay.0")
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -173,7 +173,7 @@
 
 @real
 async def test_ids_given_up_are_all_known_and_a_late_answer_costs_no_other_part(monkeypatch):
-    monkeypatch.setattr(cancellation, "ABANDONED_MOST", 3)
+    monkeypatch.setattr(cancellation, "MAX_ABANDONED", 3)
     async with rig() as r:
         home, stay = r.home(0), r.client()
         stay.now(request("stay", "hold", (0,), key="k1"))
@@ -358,7 +358,7 @@
         await link.good("r1.0", after_s=0.3)
         assert (await client.answer())[0] == 200
         (root_link,) = r.root.pool.leaves[home.name].connections
-        root_link.idle_since -= wait_s  # as late as a sweep that a busy core holds up
+        root_link.idle_since_s -= wait_s  # as late as a sweep that a busy core holds up
         client.now(request("r2", "read", (0,)))
         again = await home.link()
         assert await again.call() == ["r2.0"]
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -191,9 +191,14 @@
     from mothnotch.node import frames as f
 
     def call(parts):
-        return f.call([f.CallPart(*part) for part in parts])
+        return f.encode_call([f.CallPart(*part) for part in parts])
 
-    return {"call": call, "give_up": f.cancel, "reader": f.Reader, "answer": f.answer}
+    return {
+        "call": call,
+        "give_up": f.encode_cancel,
+        "reader": f.FrameReader,
+        "answer": f.decode_answer,
+    }
 
 
 def node_request(query, headers, body, arrived_us):
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -220,11 +220,11 @@
 def test_a_stand_in_leaf_takes_a_part_that_is_given_up_in_the_read_of_its_call():
     async def test(day):
         leaf, stream = day.leaves[0], await day.network.open(day.leaves[0].address)
-        call = frames.call([frames.CallPart("r1.0", 0, 500, None, b"t")])
+        call = frames.encode_call([frames.CallPart("r1.0", 0, 500, None, b"t")])
         await stream.send_all(
             call
-            + frames.cancel("r1.0")
-            + frames.call([frames.CallPart("r2.0", 0, 500, None, b"t")])
+            + frames.encode_cancel("r1.0")
+            + frames.encode_call([frames.CallPart("r2.0", 0, 500, None, b"t")])
         )
         found = await stream.receive_some(1000)
         assert b"r2.0 good" in found and b"r1.0" not in found and leaf.given_up == ["r1.0"]
@@ -410,7 +410,7 @@
         late = platform.Leaf.answer(None, "good", "r1.0", "wrong").replace(
             b"inflight", b"outflight"
         )
-        day.root.pool.answers.take_frame(
+        day.root.pool.answer_reader.take_frame(
             link, b"q", late[5:], 0
         )  # what crossed the word that it is given up
         assert day.root.pool.counts["late"] == 1 and not link.dead
--- a/tests/test_root_errors.py
+++ b/tests/test_root_errors.py
@@ -74,7 +74,7 @@
         link = await home.link()
         assert await link.call() == ["r1.0"]
         if failure_point == "answer":
-            monkeypatch.setattr(frames, "answer", lambda rest: 1 / 0)
+            monkeypatch.setattr(frames, "decode_answer", lambda rest: 1 / 0)
             await link.good("r1.0")
             assert await link.frame() is None  # the root closes the connection
             monkeypatch.undo()
@@ -91,7 +91,7 @@
             turn.timers.schedule(0, turn.emit, interface.Log("injected"))
             r.root.core.post(interface.TimerFired(0))
         else:
-            monkeypatch.setattr(r.root.pool, "place", lambda leaf, attempts: 1 / 0)
+            monkeypatch.setattr(r.root.pool, "enqueue", lambda leaf, attempts: 1 / 0)
             unserved = r.client()
             unserved.now(request("r2", "read", (0,)))
             await until(lambda: r.log.lines[-1][0].startswith("unexpected error"))
