--- a/mothnotch/decisions/balancer/__init__.py
+++ b/mothnotch/decisions/balancer/__init__.py
@@ -1,7 +1,7 @@
-"""All decisions of one root: where a part is sent, when it is retried, which queries are rejected.
+"""All decisions of one root, on the events and actions of mothnotch/decisions/interface.py.
 
-`Balancer` passes each event to the module that decides on it. Events and actions are defined in
-mothnotch/decisions/interface.py.
+They cover where a part is sent, when it is retried and which queries are rejected. `Balancer`
+passes each event to the module that decides on it.
 """
 
 from mothnotch.decisions.balancer.balancer import Balancer
