--- a/mothnotch/consul/doubt_resolver.py
+++ b/mothnotch/consul/doubt_resolver.py
@@ -53,12 +53,12 @@
                 self._doubt_raised = trio.Event()
                 await self._doubt_raised.wait()
             is_repeated = pause_s > FIRST_PAUSE_S
-            if await self._round(agents, self._log.debug if is_repeated else self._log.warning):
+            if await self._run_round(agents, self._log.debug if is_repeated else self._log.warning):
                 continue
             await trio.sleep(pause_s * (0.5 + 0.5 * self._random()))
             pause_s = min(MAX_PAUSE_S, 2 * pause_s)
 
-    async def _round(self, agents, log):
+    async def _run_round(self, agents, log):
         """Send every agent a consistent query; return whether that resolved the doubt."""
         requested_us = now_us()
         answers = []
