--- a/mothnotch/node/answer_reader.py
+++ b/mothnotch/node/answer_reader.py
@@ -1,4 +1,4 @@
-"""Reads what a leaf sends on a connection, and ends the attempts and health checks it answers."""
+"""Reads leaves' frames and completes the attempts and health checks that they answer."""
 
 from mothnotch.decisions.interface import HealthCheckEnded, Result
 from mothnotch.net import CONNECTION_LOST_ERRORS
@@ -8,20 +8,22 @@
 from mothnotch.node.closing import LeafCloseReason
 from mothnotch.node.leaf_connection import LeafConnection
 
-READ_BYTES = 1 << 15  # read at once: bounds what one connection takes of a pass of the scheduler
-RESULTS = {"good": Result.OK, "bad": Result.ERROR, "later": Result.REJECTED}
+# Maximum bytes per read; bounds the share of a scheduler pass that one connection uses.
+READ_BYTES = 1 << 15
+# Results by the status of an answer.
+RESULT_BY_STATUS = {"good": Result.OK, "bad": Result.ERROR, "later": Result.REJECTED}
 
 
 class AnswerReader:
-    """The answers on a pool's connections."""
+    """Reads the answers on a pool's connections."""
 
     def __init__(self, context: CallContext, cancellation: Cancellation):
-        """`cancellation`: knows whose answers count for nothing any more."""
+        """`cancellation`: tracks the attempts whose answers are to be discarded."""
         self.context = context
         self.cancellation = cancellation
 
     async def read(self, connection: LeafConnection):
-        """Take in what the leaf sends until the stream ends, then close the connection."""
+        """Read a connection until its stream ends or fails, then close it."""
         reason = LeafCloseReason.ENDED
         try:
             await self._read_frames(connection)
@@ -34,8 +36,8 @@
         except CONNECTION_LOST_ERRORS:
             pass
         except Exception as error:
-            # A defect of the root's must cost this connection's parts, not every client of this
-            # root.
+            # A defect of the root must affect only the parts on this connection, not every client
+            # of the root.
             reason = LeafCloseReason.DEFECT
             self.context.log.error(
                 "unexpected error", leaf=connection.leaf.name, error=repr(error), exc_info=True
@@ -43,48 +45,48 @@
         connection.close(reason)
 
     async def _read_frames(self, connection):
-        """Return at the end of the stream; raise FrameError at the first frame that is none."""
+        """Return at the end of the stream; raise FrameError at the first malformed frame."""
         while not connection.dead:
             data, at_s = await self.context.network.receive(connection.stream, READ_BYTES)
             if connection.dead or not data:
                 return
-            found, error = connection.reader.feed(data)
-            if found:
-                # Bytes alone don't count as heard: an answer that never ends lets none through.
+            received, error = connection.frame_reader.feed(data)
+            if received:
+                # Only complete frames count as responses: a never-ending answer delivers none.
                 connection.last_frame_us = int(at_s * 1e6)
-            for letter, rest in found:
-                self.take_frame(connection, letter, rest, int(at_s * 1e6))
+            for frame_type, body in received:
+                self.take_frame(connection, frame_type, body, int(at_s * 1e6))
             if error is not None:
                 raise error
 
-    def take_frame(self, connection: LeafConnection, letter: bytes, rest: bytes, at_us: int):
-        """Take one frame that came at `at_us`; raise FrameError if nothing asked for it."""
-        if letter == b"q":
-            self._take_answer(connection, rest, at_us)
-        elif letter in b"op" and connection.health_checks:
+    def take_frame(self, connection: LeafConnection, frame_type: bytes, body: bytes, at_us: int):
+        """Process a frame received at `at_us`; raise FrameError if it answers nothing."""
+        if frame_type == b"q":
+            self._on_answer(connection, body, at_us)
+        elif frame_type in b"op" and connection.health_checks:
             sent_us, post = connection.health_checks.popleft()
-            result = Result.ERROR if rest == b"bad" else Result.OK
+            result = Result.ERROR if body == b"bad" else Result.OK
             latency_us = max(0, at_us - sent_us)
             post(
                 HealthCheckEnded(
-                    connection.leaf.name, result, latency_us, frames.decode_report(rest)
+                    connection.leaf.name, result, latency_us, frames.decode_report(body)
                 )
             )
         else:
-            raise frames.FrameError(f"an unexpected frame {letter!r}: {rest[:80]!r}")
+            raise frames.FrameError(f"unexpected frame {frame_type!r}: {body[:80]!r}")
 
-    def _take_answer(self, connection, rest, at_us):
-        answer = frames.decode_answer(rest)
+    def _on_answer(self, connection, body, at_us):
+        answer = frames.decode_answer(body)
         wire_id = answer.wire_id
         attempt = connection.in_flight.pop(wire_id, None)
         if attempt is None:
             if wire_id not in connection.abandoned:
-                raise frames.FrameError("an answer to nothing that is out")
+                raise frames.FrameError("answer with an unknown wire id")
             self.cancellation.on_late_answer(connection, wire_id)
         elif not attempt.call.sent:
             connection.in_flight[wire_id] = attempt
-            raise frames.FrameError("an answer to what has not gone out")
+            raise frames.FrameError("answer to a call that was not sent completely")
         else:
             self.context.silence_detector.record_latency(at_us - attempt.sent_us)
-            attempt.complete(RESULTS[answer.end], answer.value, answer.report, at_us)
+            attempt.complete(RESULT_BY_STATUS[answer.end], answer.value, answer.report, at_us)
         connection.on_attempt_removed()
--- a/mothnotch/node/call_writer.py
+++ b/mothnotch/node/call_writer.py
@@ -1,4 +1,4 @@
-"""Writes one call's frame, of those attempts that may still go at the last point before it."""
+"""Writes call frames, after a final check of which attempts may still be sent."""
 
 import trio
 
@@ -11,20 +11,20 @@
 
 
 class CallWriter:
-    """The frames of a pool's connections, on their way to the leaves."""
+    """Writes the call frames of a pool's connections."""
 
     def __init__(self, context: CallContext):
-        """`context`: the pool's, of which it counts `frames` and `held_back`."""
+        """`context`: the pool's; the writer updates its `frames` and `held_back` counters."""
         self.context = context
 
     @staticmethod
     def withheld_result(
         attempt, now_s: float, takes_new: bool = True, temporarily_blocked: bool = False
     ) -> Result | None:
-        """Return how an attempt that was queued ends if it may not go (on) any more, else None.
+        """Return the result of a queued attempt that must not be sent; None if it may be sent.
 
-        A drain counts from a frame's first byte: for one that is partly sent nothing is asked of
-        the leaf.
+        Callers omit `takes_new` for a partly sent frame: a drain that begins after the first byte
+        does not stop the frame.
         """
         return connection_policy.withheld_result(
             takes_new,
@@ -35,7 +35,7 @@
         )
 
     def write(self, connection: LeafConnection, attempts: list):
-        """Write one frame with those of the attempts that may still go; the others end."""
+        """Write one call frame with the attempts that may still be sent; complete the others."""
         now_s = trio.current_time()
         parts = []
         sending = []
@@ -46,8 +46,7 @@
                 attempt,
                 now_s,
                 connection.leaf.takes_new and connection.address == connection.leaf.address,
-                self._client_may_have_disconnected(attempt)
-                or attempt.exceeds_retry_budget(sending),
+                self._has_unread_disconnect(attempt) or attempt.exceeds_retry_budget(sending),
             )
             if result is not None:
                 self.context.counts["held_back"] += 1
@@ -65,9 +64,10 @@
             )
             connection.send(data)
 
-    def _client_may_have_disconnected(self, attempt):
-        """Whether the client of an attempt has disconnected, where that may lie unread: after a
-        stall of the root's.
+    def _has_unread_disconnect(self, attempt):
+        """Return whether the attempt's client has disconnected, checked only after a stall.
+
+        After a stall of the root, a disconnect may be unread in the client's socket.
         """
         return (
             connection_policy.client_may_have_disconnected(self.context.network.unseen_s())
@@ -75,8 +75,9 @@
         )
 
     def _call_part(self, attempt, now_s):
-        """What the frame says of an attempt: its deadline as milliseconds from now, never 0, as a
-        leaf would read that as none.
+        """Build an attempt's part of the call frame.
+
+        Its deadline is in milliseconds from now and at least 1, as 0 would mean no deadline.
         """
         deadline_ms = max(1, int((attempt.deadline - now_s) * 1000))
         left_s = attempt.part.query.request.deadline_us / 1e6 - now_s
--- a/mothnotch/node/cancellation.py
+++ b/mothnotch/node/cancellation.py
@@ -1,7 +1,8 @@
-"""Cancels attempts that nobody waits for any more, and knows which of them a leaf may still run.
+"""Cancels attempts that are no longer needed, and tracks those that a leaf may still run.
 
-A cancelled id is abandoned: it stays known, and keeps its place on the connection, until the leaf
-has answered it. Bound: MAX_ABANDONED on a connection, past which it takes nothing new.
+The wire id of a cancelled attempt is called abandoned. It is kept, and counts towards the attempts
+on its connection, until the leaf has answered it. A connection with `MAX_ABANDONED` such ids
+accepts no new attempts.
 """
 
 import trio
@@ -14,22 +15,23 @@
 from mothnotch.node.closing import LeafCloseReason
 from mothnotch.node.leaf_connection import CallHandle, LeafConnection
 
-# Ids abandoned on one connection, with which it takes nothing new: a leaf that answers no cancelled
-# call must not grow the table without end.
+# Maximum number of abandoned ids on a connection. Bounds the table if a leaf never answers
+# cancelled calls.
 MAX_ABANDONED = 1024
 
 
 class Cancellation:
-    """The cancelled attempts of a pool's connections."""
+    """Cancels attempts on a pool's connections."""
 
     def __init__(self, context: CallContext):
-        """Nothing is cancelled yet."""
+        """Start without abandoned ids."""
         self.context = context
-        # Wire id -> the connection on which it is abandoned; bounded by the connections' own.
+        # Wire id -> the connection on which it was abandoned. Bounded, as `MAX_ABANDONED` bounds
+        # each connection's.
         self.abandoned_on = {}
 
     def cancel(self, call: CallHandle, attempt):
-        """Cancel an attempt, and notify its leaf unless its frame was never sent."""
+        """Cancel an attempt, and notify its leaf unless nothing of its frame was sent."""
         connection = call.connection
         connection.requeue_unsent()
         if attempt in connection.queued:
@@ -37,53 +39,54 @@
             return
         if connection.dead or connection.in_flight.get(call.wire_id) is not attempt:
             return
-        full = len(connection.in_flight) >= self.context.max_streams
+        streams_exhausted = len(connection.in_flight) >= self.context.max_streams
         del connection.in_flight[call.wire_id]
         self.context.counts["given_up"] += 1
         if call.sent and not connection.retired:
             self._retire_if_silent(connection, attempt)
-        if not call.sent or self._needs_close(connection, attempt, full):
-            # Of a frame that is partly sent none may run; of one that is sent, only a close is
-            # quick enough.
+        if not call.sent or self._needs_close(connection, attempt, streams_exhausted):
+            # A partly sent frame must not be completed; for a completely sent one, a cancel frame
+            # would be read too late.
             connection.close(LeafCloseReason.GIVEN_UP)
             return
         self._abandon(connection, call.wire_id)
         connection.send(frames.encode_cancel(call.wire_id))
         if self._needs_close(connection, attempt, False):
-            # The message wasn't sent at once: another attempt would overtake it.
+            # The cancel frame was not sent at once: another attempt would overtake it.
             connection.close(LeafCloseReason.GIVEN_UP)
             return
         connection.on_attempt_removed()
 
     def on_timeout(self, attempt, _now_s: float):
-        """End an attempt that is out at its deadline, and cancel it."""
+        """Complete an attempt whose deadline has passed, and cancel it."""
         call = attempt.call
         attempt.complete(Result.TIMEOUT if call.sent else Result.UNREACHABLE)
         self.cancel(call, attempt)
 
     def on_late_answer(self, connection: LeafConnection, wire_id: str):
-        """Forget an abandoned id whose answer came: it counts for nothing."""
+        """Remove an abandoned id whose answer was received, and discard the answer."""
         del connection.abandoned[wire_id]
         self.abandoned_on.pop(wire_id, None)
         self.context.counts["late"] += 1
 
     def on_closed(self, connection: LeafConnection):
-        """Forget the ids abandoned on a connection that is closed: its leaf has dropped them."""
+        """Remove the ids abandoned on a closed connection, as its leaf has dropped them."""
         for wire_id in connection.abandoned:
             if self.abandoned_on.get(wire_id) is connection:
                 del self.abandoned_on[wire_id]
 
     def check_second_copy(self, connection: LeafConnection, attempt):
-        """Check, as an attempt is sent, that no earlier one of its part is still at a leaf that
-        cannot read that it is cancelled.
+        """Check that no earlier attempt of the part may run beside one that is being sent.
+
+        An earlier attempt may if its leaf cannot read its cancellation yet.
         """
         earlier = self.abandoned_on.get(attempt.call.wire_id)
         if earlier is None or self.context.hedging_allowed:
             return
-        taken = len(earlier.in_flight) + len(earlier.abandoned)
-        unread = earlier.sending or taken >= self.context.max_streams
+        occupied = len(earlier.in_flight) + len(earlier.abandoned)
+        cancel_unread = earlier.sending or occupied >= self.context.max_streams
         self.context.violations.check(
-            not unread,
+            not cancel_unread,
             Invariant.SECOND_COPY,
             wire_id=attempt.call.wire_id,
             leaf=connection.leaf.name,
@@ -91,7 +94,7 @@
         )
 
     def _retire_if_silent(self, connection, attempt):
-        """Have what is sent next open a connection of its own if this one has fallen silent."""
+        """Retire a connection that has become silent, so that later attempts use another."""
         now_us = int(trio.current_time() * 1e6)
         if self.context.silence_detector.is_silent(
             attempt.sent_us, connection.last_frame_us, now_us
@@ -99,9 +102,9 @@
             connection.retired = True
             self.context.counts["silent"] += 1
 
-    def _needs_close(self, connection, attempt, full):
+    def _needs_close(self, connection, attempt, streams_exhausted):
         return connection_policy.must_close(
-            full,
+            streams_exhausted,
             connection.sending,
             attempt.part.query.outcome is not None,
             self.context.hedging_allowed,
@@ -121,5 +124,5 @@
                 waits=connection.sending,
             )
         if len(connection.abandoned) >= MAX_ABANDONED:
-            # None is forgotten: its late answer would count as a broken protocol.
+            # No id is evicted: its late answer would be taken for a protocol violation.
             connection.retired = True
--- a/mothnotch/node/closing.py
+++ b/mothnotch/node/closing.py
@@ -1,37 +1,39 @@
-"""Why connections are closed: a reason for every close, counted, and written to the trace."""
+"""The reasons for which connections are closed; their names appear in counters and the trace."""
 
 from enum import Enum
 
 
 class ClientCloseReason(Enum):
-    """Why the connection of a client was closed."""
-
-    LEFT = "the client ended or reset it"
-    LAST_ANSWER = "its last answer was sent, and the client had its time to read it"
-    TOO_MUCH_BEHIND = "too much came behind its last answer"
-    SHED = "too many connections"
-    IDLE = "idle for its time"
-    ANSWER_NOT_TAKEN = "an answer was not taken in time"
-    STOPPING = "idle at the stop of the root"
+    """Why the connection to a client was closed."""
+
+    LEFT = "the client closed or reset the connection"
+    LAST_ANSWER = "the final response was sent, and the client was given time to read it"
+    TOO_MUCH_BEHIND = "the client sent too much data after the final response"
+    SHED = "the connection limit was exceeded"
+    IDLE = "the idle timeout expired"
+    ANSWER_NOT_TAKEN = "the client did not read a response in time"
+    STOPPING = "the connection was idle when the root shut down"
     DEFECT = "an unexpected error"
 
     @property
     def initiated_by_root(self) -> bool:
-        """Return whether the root closed it of its own accord."""
+        """Return whether the root, not the client, closed the connection."""
         return self is not ClientCloseReason.LEFT
 
 
 class LeafCloseReason(Enum):
-    """Why the connection to a leaf was closed."""
-
-    CONNECT_FAILED = "no connection came up"
-    ENDED = "the leaf ended or reset it"
-    SPOILT = "the leaf broke the protocol"
-    IDLE = "idle for its time"
-    RETIRED = "its leaf is gone or moved, or it fell silent, and nothing is in flight on it"
-    GIVEN_UP = "an attempt on it was cancelled, and a message would have been read too late"
-    WITHDRAWN = "a frame partly sent must not go on"
-    PLACES_TAKEN = "all places are taken by what was abandoned"
-    SHARE = "another leaf's needed its place in the share of connections"
-    ASKED = "the module asked for new connections"
+    """Why a connection to a leaf was closed."""
+
+    CONNECT_FAILED = "the connection could not be established"
+    ENDED = "the leaf closed or reset the connection"
+    SPOILT = "the leaf violated the protocol"
+    IDLE = "the idle timeout expired"
+    RETIRED = (
+        "the leaf was removed or moved, or the connection was unresponsive, and it became unused"
+    )
+    GIVEN_UP = "an attempt was cancelled, and the leaf would have read a cancel frame too late"
+    WITHDRAWN = "the rest of a partly sent frame must not be sent"
+    PLACES_TAKEN = "abandoned attempts occupy all of its capacity"
+    SHARE = "closed at the connection limit in favour of a new connection"
+    ASKED = "the balancer requested a disconnect"
     DEFECT = "an unexpected error"
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -1,9 +1,9 @@
-"""The connections to all leaves: made for what is sent, shared by many parts, retired, closed idle.
+"""The pool of connections to all leaves: opens, shares, retires and closes them.
 
-What an attempt ends with follows the platform's table; it turns on whether the last byte of its
-frame was taken by the socket: before that it never ran (UNREACHABLE), from then on it may have
-(BROKEN, TIMEOUT). Bounds: `max_in_flight` parts on a connection, queued, in flight or abandoned;
-`max_connections` in all, past which an attempt ends UNSENT and the module is asked again.
+The result of a failed attempt depends on whether the socket accepted the last byte of its frame:
+before that the attempt never ran (UNREACHABLE), afterwards it may have (BROKEN, TIMEOUT). Bounds:
+`max_in_flight` parts on a connection, counting queued, in-flight and abandoned ones, and
+`max_connections` in all. An attempt beyond them completes as UNSENT, and the balancer decides anew.
 """
 
 import trio
@@ -25,8 +25,9 @@
 
 
 class ConnectionPool:
-    """All leaves and the connections to them. `send`, `disconnect` and `probe` are what the core
-    uses.
+    """All leaves and the connections to them.
+
+    The core uses `send`, `disconnect` and `probe`.
     """
 
     def __init__(
@@ -62,7 +63,8 @@
         self.max_connections = max_connections
         self.idle_timeout_s = idle_timeout_s
         self.leaves = {}
-        self.connections = {}  # as keys: those not closed, in the order they were begun
+        # An ordered set of the connections that are not closed, oldest first.
+        self.connections = {}
         self.writer = CallWriter(self.context)
         self.cancellation = Cancellation(self.context)
         self.answer_reader = AnswerReader(self.context, self.cancellation)
@@ -71,27 +73,27 @@
         self.close_counts = dict.fromkeys(LeafCloseReason, 0)
 
     def report_to(self, violations: Violations, trace: Trace):
-        """Have broken invariants and the record of events go to the core's, once there is one."""
+        """Report invariant violations and trace events to the core's recorders."""
         self.context.violations = violations
         self.context.trace = trace
 
     @property
     def open_count(self) -> int:
-        """Return how many connections are made or being made."""
+        """Return the number of connections that are established or being established."""
         return len(self.connections)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Run until cancelled; every connection's task lives in its nursery."""
+        """Run until cancelled; the tasks of all connections run in its nursery."""
         async with trio.open_nursery() as self.nursery:
             self.nursery.start_soon(self.timeouts.run)
             self.nursery.start_soon(self._close_idle_connections)
             task_status.started()
             await trio.sleep_forever()
 
-    # ---- the list of leaves ----
+    # ---- endpoint list ----
 
     def update_leaves(self, leaves: list, complete: bool):
-        """Take the list's leaves; with `complete` not set, only those of it that changed."""
+        """Apply an endpoint list; unless `complete`, `leaves` holds only those that changed."""
         removed = set(self.leaves) - {leaf.name for leaf in leaves} if complete else set()
         for leaf in leaves:
             if leaf.state == "removed":
@@ -113,14 +115,15 @@
                 self._retire_connections(leaf)
 
     def _withdraw_unsent(self, leaf):
-        """Have decided anew what was decided before the watch event and isn't sent."""
+        """Complete a leaf's unsent attempts as UNSENT, so that the balancer decides them anew."""
         for connection in list(leaf.connections):
             connection.requeue_unsent()
             connection.complete_queued(Result.UNSENT)
 
     def _retire_connections(self, leaf):
-        """Send nothing more on a leaf's connections, nor what is queued for them; they are closed
-        once nothing is in flight on them.
+        """Retire a leaf's connections: each is closed once nothing is in flight on it.
+
+        Their unsent attempts are completed as UNSENT.
         """
         self._withdraw_unsent(leaf)
         for connection in list(leaf.connections):
@@ -130,7 +133,7 @@
     # ---- sending ----
 
     def send(self, name: str, attempts: list):
-        """Send what one turn has for a leaf. Each attempt ends exactly once, whatever comes."""
+        """Send the attempts of one turn to a leaf; each of them completes exactly once."""
         leaf = self.leaves.get(name)
         if leaf is None:
             for attempt in attempts:
@@ -143,8 +146,9 @@
             self.enqueue(leaf, attempts[first : first + max_parts_per_call])
 
     def enqueue(self, leaf: Leaf, attempts: list):
-        """Queue one call's attempts on a connection, a new one if need be; without a place for a
-        new one they end UNSENT.
+        """Queue one call's attempts on a connection, and open one if necessary.
+
+        At the connection limit they complete as UNSENT.
         """
         wire_ids = [attempt.payload.wire_id for attempt in attempts]
         connection = self._usable_connection(leaf, wire_ids)
@@ -163,14 +167,16 @@
         connection.flush_queued()
 
     def _usable_connection(self, leaf, wire_ids):
-        """A connection with room for such attempts, none of them of an id that an earlier answer
-        may still come for; None if there is none.
+        """Return a connection with capacity for these attempts; None if there is none.
+
+        None of the wire ids may be in use on the connection, as answers to them could not be told
+        apart.
         """
         for connection in list(leaf.connections):
-            taken = connection.attempt_count + len(connection.abandoned)
-            if connection.retired or taken + len(wire_ids) > self.max_in_flight:
-                # What was abandoned keeps its place until its leaf is done with it. With nothing
-                # else on it, the connection is closed for the new one.
+            occupied = connection.attempt_count + len(connection.abandoned)
+            if connection.retired or occupied + len(wire_ids) > self.max_in_flight:
+                # An abandoned attempt uses capacity until its leaf has answered it. A connection
+                # with nothing else on it is closed to make room for a new one.
                 if not connection.attempt_count and connection.abandoned:
                     connection.close(LeafCloseReason.PLACES_TAKEN)
                 continue
@@ -192,10 +198,10 @@
         self.nursery.start_soon(self.connector.run, connection)
         return connection
 
-    # ---- connections closed ----
+    # ---- closing ----
 
     def close_connection(self, connection: LeafConnection, reason: LeafCloseReason):
-        """Close a connection: what was sent on it is reset, the rest never ran."""
+        """Close a connection; completely sent attempts end BROKEN, the others UNREACHABLE."""
         if connection.dead:
             return
         connection.dead = True
@@ -216,15 +222,13 @@
             post(HealthCheckEnded(connection.leaf.name, Result.BROKEN, 0, None))
 
     def disconnect(self, name: str):
-        """Close the idle connections to a leaf."""
+        """Close the idle connections to a leaf, as the balancer requests."""
         leaf = self.leaves.get(name)
         for connection in list(leaf.connections) if leaf else ():
             connection.close_if_idle(LeafCloseReason.ASKED)
 
     def _close_longest_idle(self):
-        """At the limit of connections, close the longest idle one, if any has been idle for long
-        enough.
-        """
+        """At the connection limit, close the longest idle connection if idle for long enough."""
         now_s = trio.current_time()
         idle = [
             (connection.idle_since_s, connection)
@@ -238,7 +242,7 @@
             connection.close(LeafCloseReason.SHARE)
 
     async def _close_idle_connections(self):
-        """Close, until cancelled, connections that nobody used for long."""
+        """Close connections whose idle timeout has expired, until cancelled."""
         while True:
             await trio.sleep(connection_policy.idle_check_interval_s(self.idle_timeout_s))
             now_s = trio.current_time()
@@ -263,8 +267,9 @@
     # ---- health checks ----
 
     def probe(self, name: str, post):
-        """Ask a leaf for its load over a connection that is made; without one there is no health
-        check. Its end goes to `post`.
+        """Request a load report from a leaf and pass the result to `post`.
+
+        The request uses an established connection; without one the result is UNSENT.
         """
         connection = self._connection_for_health_check(name)
         if connection is None or len(connection.health_checks) >= self.context.max_streams:
--- a/mothnotch/node/connector.py
+++ b/mothnotch/node/connector.py
@@ -1,4 +1,4 @@
-"""Makes connections to leaves, each in a task of its own that then reads from it."""
+"""Establishes connections to leaves; one task per connection connects and then reads from it."""
 
 import trio
 
@@ -10,29 +10,29 @@
 
 
 class Connector:
-    """Makes a pool's connections."""
+    """Establishes the connections of a pool."""
 
-    def __init__(self, context: CallContext, answers: AnswerReader, connect_timeout_s: float):
-        """`connect_timeout_s`: a connection that isn't made by then is given up."""
+    def __init__(self, context: CallContext, answer_reader: AnswerReader, connect_timeout_s: float):
+        """`connect_timeout_s`: the maximum time to establish a connection."""
         self.context = context
-        self.answers = answers
+        self.answer_reader = answer_reader
         self.connect_timeout_s = connect_timeout_s
 
     async def run(self, connection: LeafConnection):
-        """Make a connection, send what is queued, and read until it is closed: its task."""
+        """Connect, send the queued attempts and read until the connection is closed."""
         try:
             if await self._connect(connection):
-                await self.answers.read(connection)
+                await self.answer_reader.read(connection)
         except Exception as error:
-            # A defect of the root's, or what no list should name, must cost this connection's parts
-            # and no root.
+            # A defect of the root, or an unusable address in the endpoint list, must affect only
+            # the parts on this connection.
             self.context.log.error(
                 "unexpected error", leaf=connection.leaf.name, error=repr(error), exc_info=True
             )
             connection.close(LeafCloseReason.DEFECT)
 
     async def _connect(self, connection):
-        """Make a connection and send what is queued; return whether it is to be read from."""
+        """Connect and send the queued attempts; return whether to read from the connection."""
         network = self.context.network
         self.context.counts["connects"] += 1
         stream = None
@@ -41,7 +41,7 @@
                 stream = await network.open(connection.address)
         except (OSError, trio.BrokenResourceError) as error:
             self.context.log.warning(
-                "no connection to a leaf", leaf=connection.leaf.name, error=str(error)
+                "cannot connect to leaf", leaf=connection.leaf.name, error=str(error)
             )
         if stream is None or connection.dead:
             self.context.counts["connects_failed"] += 1
--- a/mothnotch/node/leaf_connection.py
+++ b/mothnotch/node/leaf_connection.py
@@ -1,8 +1,8 @@
-"""One connection to a leaf, which carries many parts at once.
+"""A connection to a leaf, which multiplexes many parts.
 
-What has to wait, for the connection to come up or for its socket to take more, is queued as
-attempts and not as bytes: `LeafConnection.flush_queued` is the one point at which they are looked
-at again before they are sent. The pool bounds how many are on a connection.
+Whatever must wait until the connection is established or its socket is writable is queued as
+attempts rather than bytes. `LeafConnection.flush_queued` is therefore the only place where they are
+rechecked before they are sent. The pool bounds the number of attempts on a connection.
 """
 
 from collections import deque
@@ -16,10 +16,13 @@
 
 
 class Leaf:
-    """A leaf as discovery last named it, and the connections to it, oldest first."""
+    """A leaf as last reported by discovery, and the connections to it, oldest first.
+
+    `takes_new`: whether new parts may be sent to it.
+    """
 
     def __init__(self, name: str, address: str):
-        """A leaf that takes new parts and has no connection yet."""
+        """Create a leaf that takes new parts and has no connections."""
         self.name = name
         self.address = address
         self.takes_new = True
@@ -27,33 +30,35 @@
 
 
 class UnsentFrame:
-    """A frame that isn't sent whole: its first byte and its end, counted from the first byte of
-    the connection, and the attempts it carries.
+    """A call frame of which not all bytes were sent yet, and the attempts it carries.
+
+    The offsets count the bytes written on the connection.
     """
 
     __slots__ = ("begin_offset", "end_offset", "attempts")
 
     def __init__(self, begin_offset: int, end_offset: int, attempts: list):
-        """The end is exclusive."""
+        """`end_offset` is exclusive."""
         self.begin_offset = begin_offset
         self.end_offset = end_offset
         self.attempts = attempts
 
 
 class LeafConnection(BufferedWriter):
-    """One connection to a leaf, being made or made.
+    """A connection to a leaf, established or being established.
 
-    `in_flight`: attempts by wire id whose frame is written, or buffered for the socket.
-    `abandoned`: wire ids cancelled whose answer may still come. `queued`: attempts none of whose
-    bytes is sent, as there is no connection yet or the socket is full. `retired`: it takes nothing
-    new, and is closed once nothing is on it. `last_frame_us`: when a whole frame last came.
+    `in_flight`: attempts by wire id whose frame was written or is buffered for the socket.
+    `abandoned`: wire ids of cancelled attempts whose answers may still arrive. `queued`: attempts
+    of which no byte was sent, because the connection is not established or the socket is full.
+    `retired`: the connection accepts no attempts and is closed once it has none. `last_frame_us`:
+    when the last complete frame was received.
     """
 
     __slots__ = (
         "pool",
         "leaf",
         "address",
-        "reader",
+        "frame_reader",
         "in_flight",
         "abandoned",
         "queued",
@@ -66,57 +71,58 @@
     )
 
     def __init__(self, pool, leaf: Leaf):
-        """`pool`: the ConnectionPool that owns it; it makes the stream and closes it."""
+        """`pool`: the ConnectionPool that owns the connection and opens and closes its stream."""
         super().__init__(pool.context.network, pool.nursery, None)
         self.pool = pool
         self.leaf = leaf
         self.address = leaf.address
-        self.reader = frames.FrameReader()
+        self.frame_reader = frames.FrameReader()
         self.in_flight = {}
         self.abandoned = {}
         self.queued = []
         self.written_bytes = 0
         self.unsent_frames = deque()
-        self.health_checks = deque()  # (sent_us, post) of those not answered, oldest first
+        self.health_checks = deque()  # (sent_us, post) of the unanswered, oldest first
         self.idle_since_s = trio.current_time()
         self.retired = False
         self.last_frame_us = 0
 
     @property
     def attempt_count(self) -> int:
-        """Return how many attempts are in flight or queued here."""
+        """Return the number of attempts in flight or queued on the connection."""
         return len(self.in_flight) + len(self.queued)
 
     def close(self, reason: LeafCloseReason):
-        """Close it; every attempt on it ends. Do nothing if it is closed."""
+        """Close the connection, which ends its attempts; do nothing if it is already closed."""
         self.pool.close_connection(self, reason)
 
     def close_if_idle(self, reason: LeafCloseReason):
-        """Close it if it is made and carries nothing."""
+        """Close the connection if it is established and has no attempts."""
         if self.stream is not None and not self.attempt_count:
             self.close(reason)
 
     def on_attempt_removed(self):
-        """Note the start of an idle time if nothing is left on it; close it then if retired."""
+        """If no attempts are left, record the start of the idle time, and close it if retired."""
         if not self.attempt_count and not self.dead:
             self.idle_since_s = trio.current_time()
             if self.retired:
                 self.close(LeafCloseReason.RETIRED)
 
-    # ---- attempts not sent yet ----
+    # ---- unsent attempts ----
 
     def flush_queued(self):
-        """Send what is queued, as far as the socket takes it: the last point at which an attempt
-        may be held back.
+        """Send the queued attempts as far as the socket accepts data.
+
+        This is the last point at which an attempt may be withheld.
         """
         while self.queued and self.stream is not None and not self.sending and not self.dead:
-            most = self.pool.context.max_parts_per_call
-            attempts = self.queued[:most]
-            self.queued = self.queued[most:]
+            max_parts = self.pool.context.max_parts_per_call
+            attempts = self.queued[:max_parts]
+            self.queued = self.queued[max_parts:]
             self.pool.writer.write(self, attempts)
 
     def requeue_unsent(self):
-        """Queue a frame's attempts again if it met a full socket and nothing of it is sent."""
+        """Requeue the attempts of the first unsent frame if none of its bytes was sent."""
         if not self.unsent_frames or self.dead:
             return
         frame = self.unsent_frames[0]
@@ -129,22 +135,22 @@
         self.queued[:0] = frame.attempts
 
     def complete_queued(self, result: Result):
-        """End what is queued with this result: none of it is sent."""
+        """Complete the queued attempts, of which nothing was sent, with this result."""
         attempts = self.queued
         self.queued = []
         for attempt in attempts:
             attempt.complete(result)
 
-    # ---- hooks of the writer ----
+    # ---- hooks of BufferedWriter ----
 
     def on_write_drained(self):
-        """Send what was queued behind the bytes that had to wait."""
+        """Send the attempts that were queued while the socket was full."""
         self.flush_queued()
 
     def revoke_unsent(self) -> bool:
         """Return whether the connection was closed rather than send the rest of a frame.
 
-        Of a frame that is partly sent none may run: if any attempt of it may not go on any more,
+        If an attempt of a partly sent frame must be withheld, the frame must not be completed, so
         the connection is closed.
         """
         self.requeue_unsent()
@@ -160,8 +166,9 @@
         return True
 
     def on_bytes_written(self, count: int, at_s: float):
-        """Mark the attempts whose first byte is sent now, then those whose last byte is: from then
-        on they may run.
+        """Notify the attempts whose first byte was sent, then those whose last byte was sent.
+
+        An attempt may run from its last byte on.
         """
         before_bytes = self.written_bytes
         self.written_bytes += count
@@ -178,7 +185,7 @@
                 attempt.on_sent(int(at_s * 1e6))
 
     def on_connection_lost(self):
-        """Close it, as its stream is lost."""
+        """Close the connection."""
         self.close(LeafCloseReason.ENDED)
 
     def _trace_sent(self, attempt, at_s):
@@ -197,20 +204,21 @@
 
 
 class CallHandle:
-    """What an attempt knows of the connection it is on.
+    """An attempt's handle of its call on a connection.
 
-    `sent`: whether the last byte of its frame is. `deadline_ms`: the time the frame states.
+    `sent`: whether the last byte of its frame was sent. `deadline_ms`: the time until the deadline
+    as stated in the frame, or None before the frame is built.
     """
 
     __slots__ = ("connection", "wire_id", "sent", "deadline_ms")
 
     def __init__(self, connection: LeafConnection, wire_id: str):
-        """Of an attempt that is about to be queued."""
+        """Create the handle of an attempt that is about to be queued."""
         self.connection = connection
         self.wire_id = wire_id
         self.sent = False
         self.deadline_ms = None
 
     def cancel(self, attempt):
-        """Cancel the attempt, whose end nobody waits for any more."""
+        """Cancel the attempt, whose result is no longer needed."""
         self.connection.pool.cancellation.cancel(self, attempt)
