--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -18,7 +18,7 @@
 from sqlalchemy.ext.asyncio import create_async_engine
 
 from mothnotch.decisions.interface import Result
-from tests.support.attempt_marks import ends_of
+from tests.support.attempt_recorder import record_attempts
 from tests.support.postgres_cluster import running
 
 
@@ -79,7 +79,7 @@
 
 def test_errors_carry_postgresqls_codes_and_leave_the_session_usable(run, pg):
     before = run.root.core.counts["faults"]
-    with ends_of(run.root.core.balancer) as ends:
+    with record_attempts(run.root.core.balancer) as ends:
         for sql, kind in (
             ("SELECT nope FROM stock", psycopg.errors.UndefinedColumn),
             ("SELECT qty / 0 FROM stock", psycopg.errors.DivisionByZero),
@@ -100,7 +100,7 @@
     # (test_root_faults.py).
     assert run.root.core.counts["faults"] > before
     assert any(end.result is Result.OK for end in ends)
-    assert not [end for end in ends if end.marked and not end.called_off_while_stuck]
+    assert not [end for end in ends if end.counted_as_failure and not end.cancelled_while_stuck]
 
 
 def test_transactions_commit_together_or_not_at_all(run):
--- a/tests/test_root_faults.py
+++ b/tests/test_root_faults.py
@@ -11,7 +11,7 @@
 from mothnotch.decisions import interface
 from mothnotch.pgwire import backend
 from mothnotch.pgwire import client as wire
-from tests.support.attempt_marks import ends_of
+from tests.support.attempt_recorder import record_attempts
 from tests.support.virtual_clock import play
 
 INSERT_HOLD = "INSERT INTO holds (bin, order_id, item, qty) VALUES (7, 'h1', 'rice', 1)"
@@ -586,7 +586,7 @@
         client = await world.client()
         await run_wide_and_narrow_reads(client)
         query_errors_before = world.root.core.counts["faults"]
-        with ends_of(world.root.core.balancer) as ends:
+        with record_attempts(world.root.core.balancer) as ends:
             for sql, code in (
                 ("SELECT nope FROM stock", "42703"),
                 ("SELECT qty / 0 FROM stock", "22012"),
@@ -618,14 +618,14 @@
         await run_wide_and_narrow_reads(client)
         for leaf in world.fleet.leaves.values():
             leaf.trouble.slow = 100
-        with ends_of(world.root.core.balancer) as ends:
+        with record_attempts(world.root.core.balancer) as ends:
             assert (await client.query("SELECT qty / 0 FROM stock")).error.sqlstate == "22012"
             await trio.sleep(0.1)
         answering_leaves = {end.leaf for end in ends if end.result is interface.Result.OK}
         assert answering_leaves and not answering_leaves & leaves_with_failures(world)
         assert (
             leaves_with_failures(world)
-            == {end.leaf for end in ends if end.called_off_while_stuck}
+            == {end.leaf for end in ends if end.cancelled_while_stuck}
             != set()
         )
 
@@ -648,7 +648,7 @@
         for leaf in world.fleet.leaves.values():
             leaf.trouble.slow = 100
         world.seen.clear()
-        with ends_of(world.root.core.balancer) as ends:
+        with record_attempts(world.root.core.balancer) as ends:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(client.query, "SELECT count(*) FROM stock WHERE bin = 3")
                 while not world.arrived("stock"):
