--- a/mothnotch/config/__init__.py
+++ b/mothnotch/config/__init__.py
@@ -1,7 +1,7 @@
-"""The configuration of a root: JSON5, checked as a whole before anything starts.
+"""The configuration of a root: a JSON5 file that is validated completely before the root starts.
 
-docs/operators.md lists every setting. Each error names its path and how to correct it. Times are
-milliseconds where a name ends in `_ms`, seconds in `_s`.
+docs/operators.md lists every setting. Each error names the path of the setting and how to correct
+it. Settings whose names end in `_ms` are in milliseconds, those that end in `_s` in seconds.
 """
 
 from mothnotch.config.checks import check
--- a/mothnotch/config/checks.py
+++ b/mothnotch/config/checks.py
@@ -1,34 +1,34 @@
-"""Check the configuration for what the types don't show, section by section."""
+"""Validate each section of the configuration beyond its types: value ranges and dependencies."""
 
 from itertools import pairwise
 from pathlib import Path
 
 from mothnotch import net
-from mothnotch.config.discovery_checks import Report, check_consul, check_peers
+from mothnotch.config.discovery_checks import ErrorReporter, check_consul, check_peers
 from mothnotch.config.root_config import Config
 from mothnotch.config.sections import ClassConfig, MemoryConfig, Ranges, RulesConfig, TableConfig
 from mothnotch.sql.schema import TYPE_NAMES
 
-# PostgreSQL's type numbers of int8, int2 and int4: ranges are of whole numbers.
+# The PostgreSQL type OIDs of int8, int2 and int4: range bounds are integers.
 INTEGER_TYPES = (20, 21, 23)
-# Less would hold too few rows at a time to merge an answer.
+# With less memory, the merge of an answer could hold too few rows at a time.
 MIN_MEMORY_BYTES = 1 << 16
 
 
 def check(config: Config, path="configuration") -> list[str]:
-    """Return every error that the types don't show, a line each, after `path`."""
+    """Return every error that type conversion does not find, one line each, prefixed by `path`."""
     errors = []
 
-    def report(where: str, what: str) -> None:
-        errors.append(f"{path}: {where}: {what}")
+    def report(where: str, problem: str) -> None:
+        errors.append(f"{path}: {where}: {problem}")
 
     _check_listen(config, report)
     if (config.roster is None) == (config.consul is None):
-        report("roster", "state either roster, a file, or consul")
+        report("roster", "set either roster, a file, or consul")
     _check_memory(config.memory, report)
     _check_discovery(config, report)
     if config.auth.method != "trust" and not config.auth.users:
-        report("auth.users", "names nobody; give each user's password")
+        report("auth.users", "must list the users and their passwords")
     for name, table in config.tables.items():
         _check_table(f"tables.{name}", table, report)
     _check_ranges(config.ranges, report)
@@ -42,7 +42,7 @@
     return errors
 
 
-def _check_listen(config: Config, report: Report) -> None:
+def _check_listen(config: Config, report: ErrorReporter) -> None:
     for index, address in enumerate(config.listen):
         try:
             parsed = net.parse_address(address)
@@ -52,61 +52,61 @@
         if config.auth.method == "trust" and not _is_local(parsed):
             report(
                 "auth.method",
-                f"trust would let anybody in at {address}; "
+                f"trust would accept any client at {address} without a password; "
                 "use scram-sha-256 or listen on loopback",
             )
     if not config.listen:
-        report("listen", "names no address")
+        report("listen", "must contain at least one address")
 
 
 def _is_local(parsed: tuple) -> bool:
-    """Whether only this machine's own programs reach a parsed address."""
+    """Return whether a parsed address can be reached only from this machine."""
     kind, host, *_ = parsed
     return kind != "tcp" or host.startswith("127.") or host in ("localhost", "::1")
 
 
-def _check_memory(memory: MemoryConfig, report: Report) -> None:
+def _check_memory(memory: MemoryConfig, report: ErrorReporter) -> None:
     if memory.limit_bytes < MIN_MEMORY_BYTES or memory.disk_bytes < 0:
-        report("memory", "limit_bytes must be 65536 at least, disk_bytes 0 at least")
+        report("memory", "limit_bytes must be at least 65536, disk_bytes at least 0")
     if memory.directory is not None and not Path(memory.directory).is_dir():
-        report("memory.directory", f"{memory.directory!r} is no folder")
+        report("memory.directory", f"{memory.directory!r} is not a directory")
 
 
-def _check_discovery(config: Config, report: Report) -> None:
+def _check_discovery(config: Config, report: ErrorReporter) -> None:
     if config.consul is not None:
         check_consul(config.consul, report)
     if config.peers is None:
         return
     check_peers(config.peers, report)
     is_registered = config.consul is not None and config.consul.register is not None
-    listens_everywhere = config.peers.listen.startswith("0.0.0.0:")
-    if is_registered and listens_everywhere and config.peers.address is None:
+    listens_on_all_interfaces = config.peers.listen.startswith("0.0.0.0:")
+    if is_registered and listens_on_all_interfaces and config.peers.address is None:
         report(
             "peers.address",
-            "must be stated: the catalogue cannot name 0.0.0.0 to the other roots",
+            "must be set: the other roots cannot reach the registered address 0.0.0.0",
         )
 
 
-def _check_table(where: str, table: TableConfig, report: Report) -> None:
+def _check_table(where: str, table: TableConfig, report: ErrorReporter) -> None:
     if table.shard_by not in table.columns:
-        report(f"{where}.shard_by", f"{table.shard_by!r} is not among its columns")
+        report(f"{where}.shard_by", f"{table.shard_by!r} is not one of the columns of the table")
     elif TYPE_NAMES.get(table.columns[table.shard_by].lower()) not in INTEGER_TYPES:
         report(f"{where}.shard_by", f"{table.shard_by!r} must be of an integer type")
     for column, kind in table.columns.items():
         if kind.lower() not in TYPE_NAMES:
             known = ", ".join(TYPE_NAMES)
-            report(f"{where}.columns.{column}", f"type {kind!r} is not known; there are {known}")
+            report(f"{where}.columns.{column}", f"unknown type {kind!r}; known types: {known}")
         if column != column.lower():
-            report(f"{where}.columns.{column}", "names are lower case here")
+            report(f"{where}.columns.{column}", "column names must be lower case")
 
 
-def _check_ranges(ranges: Ranges, report: Report) -> None:
+def _check_ranges(ranges: Ranges, report: ErrorReporter) -> None:
     if ranges.bounds is not None:
-        rises = all(lower < upper for lower, upper in pairwise(ranges.bounds))
-        if len(ranges.bounds) < 2 or not rises:
-            report("ranges.bounds", "must rise, and name two values at least")
+        is_ascending = all(lower < upper for lower, upper in pairwise(ranges.bounds))
+        if len(ranges.bounds) < 2 or not is_ascending:
+            report("ranges.bounds", "must contain at least two values, in strictly ascending order")
     elif None in (ranges.first, ranges.to, ranges.count):
-        report("ranges", "state either bounds, or from, to and count")
+        report("ranges", "set either bounds, or all of from, to and count")
     elif ranges.count < 1 or ranges.to - ranges.first < ranges.count:
         report(
             "ranges.count",
@@ -114,14 +114,14 @@
         )
 
 
-def _check_cells(config: Config, report: Report) -> None:
+def _check_cells(config: Config, report: ErrorReporter) -> None:
     if config.cells < 1:
-        report("cells", "must be 1 at least")
+        report("cells", "must be at least 1")
     if not 1 <= config.reach <= max(1, config.cells):
         report("reach", f"must be between 1 and cells ({config.cells})")
 
 
-def _check_class(where: str, query_class: ClassConfig, report: Report) -> None:
+def _check_class(where: str, query_class: ClassConfig, report: ErrorReporter) -> None:
     floor = query_class.floor
     whole_at = query_class.whole_at
     deadline_ms = query_class.deadline_ms
@@ -130,34 +130,37 @@
     if query_class.repeat == "keyed" and not query_class.repeat_window_ms:
         report(
             f"{where}.repeat_window_ms",
-            "must be stated for a keyed class: how long leaves drop a repeat",
+            "must be set for a keyed class: the time for which leaves drop repeats",
         )
     if not 0 < floor <= 1 or not 0 < whole_at <= 1:
-        report(f"{where}.floor", "floor and whole_at lie above 0 and at most at 1")
+        report(f"{where}.floor", "floor and whole_at must be above 0 and at most 1")
     if query_class.writes and (floor < 1 or whole_at < 1):
-        report(f"{where}.floor", "a class for writes needs all of its parts")
+        report(
+            f"{where}.floor",
+            "floor and whole_at must be 1 for a class for writes, which needs all parts",
+        )
     if query_class.default and floor < 1:
         report(
             f"{where}.default",
-            "a class that may be answered in part must be asked for by name: a client that did "
-            "not would take the part for the whole",
+            "a class with a floor below 1 must not be a default: a client that has not selected "
+            "the class by name would take a partial answer for a complete one",
         )
 
 
-def _check_default_classes(classes: dict[str, ClassConfig], report: Report) -> None:
-    defaults = [query_class for query_class in classes.values() if query_class.default]
-    writing = sum(query_class.writes for query_class in defaults)
-    if len(defaults) - writing != 1:
-        report("classes", "exactly one class for reads (repeat: safe) must say default: true")
-    if writing != 1:
+def _check_default_classes(classes: dict[str, ClassConfig], report: ErrorReporter) -> None:
+    default_classes = [query_class for query_class in classes.values() if query_class.default]
+    write_count = sum(query_class.writes for query_class in default_classes)
+    if len(default_classes) - write_count != 1:
+        report("classes", "exactly one class for reads (repeat: safe) must have default: true")
+    if write_count != 1:
         report(
             "classes",
-            "exactly one class for writes (repeat: keyed or unsafe) must say default: true",
+            "exactly one class for writes (repeat: keyed or unsafe) must have default: true",
         )
 
 
-def _check_rules(rules: RulesConfig, report: Report) -> None:
+def _check_rules(rules: RulesConfig, report: ErrorReporter) -> None:
     if (rules.budget_share is None) != (rules.budget_window_s is None):
-        report("rules.budget_window_s", "budget_share and budget_window_s go together")
+        report("rules.budget_window_s", "budget_share and budget_window_s must be set together")
     if not 0 < rules.cold_from <= 1:
-        report("rules.cold_from", "lies above 0 and at most at 1")
+        report("rules.cold_from", "must be above 0 and at most 1")
--- a/mothnotch/config/conversion.py
+++ b/mothnotch/config/conversion.py
@@ -1,16 +1,16 @@
-"""Convert sections of the configuration to the settings of the decisions."""
+"""Convert sections of the configuration to the settings of the decisions package."""
 
 from mothnotch.config.sections import ClassConfig, LeavesConfig, LimitsConfig, RulesConfig
 from mothnotch.decisions.interface import Idempotency, Limits, QueryClass, Rules
 
 
 def microseconds(milliseconds: float) -> int:
-    """Return milliseconds as whole microseconds."""
+    """Return a time in milliseconds as microseconds, rounded down."""
     return int(milliseconds * 1000)
 
 
 def build_query_class(name: str, config: ClassConfig) -> QueryClass:
-    """Return a class of queries as the decisions see it."""
+    """Return the query class of that name for the decisions."""
     window_ms = config.repeat_window_ms
     return QueryClass(
         name=name,
@@ -29,9 +29,9 @@
 
 
 def build_limits(limits: LimitsConfig, leaves: LeavesConfig) -> Limits:
-    """Return what a root of the PostgreSQL wire may do.
+    """Return what a root that serves the PostgreSQL protocol may do.
 
-    PostgreSQL has no health check and no load report, and peers don't gossip about leaves.
+    The protocol has neither health checks nor load reports, and peers do not gossip about leaves.
     """
     return Limits(
         cancel=limits.cancel,
@@ -46,7 +46,7 @@
 
 
 def build_rules(rules: RulesConfig) -> Rules:
-    """Return the deployment's rules as the decisions see them."""
+    """Return the rules of the deployment for the decisions."""
     window_s = rules.budget_window_s
     return Rules(
         answer_slack_us=microseconds(rules.answer_slack_ms),
--- a/mothnotch/config/discovery_sections.py
+++ b/mothnotch/config/discovery_sections.py
@@ -1,4 +1,4 @@
-"""The sections on whom the root finds: leaves in Consul's catalogue, and the other roots."""
+"""The sections on service discovery (leaves in the Consul catalogue) and on the other roots."""
 
 from typing import Literal
 
@@ -8,15 +8,16 @@
 from mothnotch.decisions.fleet.swim_messages import SwimSettings
 from mothnotch.decisions.leaf_membership.settings import MembershipSettings
 
-# Share of a period after which an answer is overdue and the next gossip goes out: a probe that
-# failed, and the indirect one after it, both end within the period.
-ANSWER_SHARE_OF_PERIOD = 0.4
+# Fraction of the protocol period that is the acknowledgement timeout and the gossip interval. It is
+# below one half, so that a failed direct probe and the indirect probe after it both end within the
+# period.
+TIMEOUT_FRACTION_OF_PERIOD = 0.4
 
 
 class DrainConfig(Strict):
-    """What marks a leaf as draining.
+    """Which properties of a catalogue entry mark a leaf as draining; any one of them suffices.
 
-    Any of these tags, any of these meta pairs, weight 0, or maintenance.
+    These are the tags, the meta pairs, and, where enabled, weight 0 and maintenance mode.
     """
 
     tags: list[str] = msgspec.field(default_factory=lambda: ["draining"])
@@ -26,7 +27,7 @@
 
 
 class RegisterConfig(Strict):
-    """The root's own entry in the catalogue."""
+    """The registration of this root in the catalogue."""
 
     service: str = "mothnotch"
     ttl_s: float = 15.0
@@ -34,10 +35,11 @@
 
 
 class ConsulConfig(Strict):
-    """The endpoint list comes from Consul: the instances of `service`.
+    """The Consul catalogue as the source of the endpoint list: the instances of `service`.
 
-    `cell`, `zone` and `started` are the keys of an instance's meta. `follow`: how many agents are
-    watched at once; `held`: the file that keeps the last list; `answer_limit` is in bytes.
+    `cell`, `zone` and `started` are keys in the meta of an instance. `follow` is the number of
+    agents watched at once, `held` the file that caches the last endpoint list for at most
+    `held_most_s`, and `answer_limit` a size in bytes.
     """
 
     agents: list[str]
@@ -67,7 +69,7 @@
     register: RegisterConfig | None = None
 
     def membership(self, cells: int, reach: int) -> MembershipSettings:
-        """Return the settings of the leaf membership."""
+        """Return the settings of the leaf membership for this topology of cells."""
         return MembershipSettings(
             cells=cells,
             reach=reach,
@@ -88,11 +90,11 @@
 
 
 class PeersConfig(Strict):
-    """The roots' own peers: datagrams at `listen`, first to `seeds`.
+    """The membership protocol between roots, over datagrams at `listen`; it joins through `seeds`.
 
-    `fleet` and `keys` are the same at all of them; a key has 16 to 64 bytes, the first signs, and a
-    second is valid besides while keys are changed. `address` is what the root's entry in the
-    catalogue names, where others do not reach it at `listen`.
+    `fleet` and `keys` are the same on all roots. A key has 16 to 64 bytes; the first key signs, and
+    during a key rotation a second one is accepted as well. `address` is registered in the catalogue
+    when the other roots cannot reach this one at `listen`.
     """
 
     name: str
@@ -108,6 +110,6 @@
         period_us = int(self.period_ms * 1000)
         return SwimSettings(
             period_us=period_us,
-            ack_timeout_us=int(ANSWER_SHARE_OF_PERIOD * period_us),
-            gossip_interval_us=int(ANSWER_SHARE_OF_PERIOD * period_us),
+            ack_timeout_us=int(TIMEOUT_FRACTION_OF_PERIOD * period_us),
+            gossip_interval_us=int(TIMEOUT_FRACTION_OF_PERIOD * period_us),
         )
--- a/mothnotch/config/errors.py
+++ b/mothnotch/config/errors.py
@@ -1,10 +1,10 @@
-"""The error of a configuration."""
+"""The exception for an invalid configuration."""
 
 
 class ConfigError(Exception):
-    """Everything that is wrong with a file, a line each."""
+    """All errors found in a configuration or roster file."""
 
     def __init__(self, errors: list[str]):
-        """Hold the lines; each names its path and what is wrong there."""
+        """Store the errors, one line each: the path of the setting, and the problem."""
         super().__init__("\n".join(errors))
         self.errors = errors
--- a/mothnotch/config/loading.py
+++ b/mothnotch/config/loading.py
@@ -1,4 +1,4 @@
-"""Read the configuration's file: decode it, check it, and resolve the paths that it states."""
+"""Load the configuration file: decode it, validate it, and resolve the paths in it."""
 
 from pathlib import Path
 from typing import Any
@@ -12,9 +12,9 @@
 
 
 def decode(text: str, kind: Any, path) -> Any:
-    """Return a JSON5 text as the type asked for; `path` names it in errors.
+    """Return a JSON5 text converted to the type `kind`; `path` prefixes its errors.
 
-    Raise ConfigError with the place of what is wrong.
+    Raise ConfigError, which names the path of the invalid value.
     """
     try:
         raw = pyjson5.decode(text)
@@ -26,15 +26,15 @@
     except msgspec.ValidationError as error:
         # The message reads "Expected `int`, got `str` - at `$.root.me`".
         problem, _, place = str(error).partition(" - at `")
-        where = place.rstrip("`").removeprefix("$").lstrip(".") or "the top"
+        where = place.rstrip("`").removeprefix("$").lstrip(".") or "top level"
         raise ConfigError([f"{path}: {where}: {problem[:1].lower() + problem[1:]}"]) from None
 
 
 def load(path: str | Path) -> Config:
-    """Return the checked configuration of a file.
+    """Return the validated configuration in a file.
 
-    The paths of the roster and of the last list's file are taken from the file's folder. Raise
-    ConfigError with everything that is wrong.
+    The paths of the roster and of the cached endpoint list are relative to the directory of the
+    file. Raise ConfigError with all errors.
     """
     path = Path(path)
     try:
@@ -48,11 +48,11 @@
     return _resolve_paths(config, path.parent)
 
 
-def _resolve_paths(config: Config, folder: Path) -> Config:
-    """Return the configuration with its files' paths taken from the folder."""
+def _resolve_paths(config: Config, directory: Path) -> Config:
+    """Return the configuration with its file paths resolved against the directory."""
     if config.consul is None:
-        return msgspec.structs.replace(config, roster=str(folder / config.roster))
+        return msgspec.structs.replace(config, roster=str(directory / config.roster))
     if config.consul.held is None:
         return config
-    consul = msgspec.structs.replace(config.consul, held=str(folder / config.consul.held))
+    consul = msgspec.structs.replace(config.consul, held=str(directory / config.consul.held))
     return msgspec.structs.replace(config, consul=consul)
--- a/mothnotch/config/root_config.py
+++ b/mothnotch/config/root_config.py
@@ -1,4 +1,4 @@
-"""The whole configuration, and what the parts of the program take from it."""
+"""The top level of the configuration, and the settings that other packages derive from it."""
 
 from mothnotch.config.conversion import (
     build_limits,
@@ -26,7 +26,7 @@
 from mothnotch.leaves.pool import PoolSettings
 from mothnotch.sql.schema import TYPE_NAMES, Schema, Table
 
-# Settings asks for it; nothing on the PostgreSQL side reads it.
+# Settings requires a value, which is not used when leaves speak the PostgreSQL protocol.
 PARTS_PER_CALL = 16
 
 
@@ -57,7 +57,7 @@
     weighted: bool = False
 
     def settings(self) -> Settings:
-        """Return the settings of the decisions."""
+        """Return the settings of the decisions package."""
         return Settings(
             root_count=self.root.roots,
             root_index=self.root.me,
@@ -80,7 +80,7 @@
         )
 
     def bounds(self) -> tuple[int, ...]:
-        """Return the bounds of the ranges in order, the last range's end included."""
+        """Return the lower bounds of the ranges in order, then the end of the last range."""
         return self.ranges.all_bounds()
 
     def schema(self) -> Schema:
@@ -98,7 +98,7 @@
         )
 
     def pool(self) -> PoolSettings:
-        """Return how the root connects to its leaves."""
+        """Return the settings of the connection pool to the leaves."""
         return PoolSettings(
             user=self.leaves.user,
             database=self.leaves.database,
@@ -110,7 +110,7 @@
         )
 
     def class_kinds(self) -> dict[str, ClassKind]:
-        """Return which statements each class takes, by the classes' names."""
+        """Return which statements each class accepts, by class name."""
         return {
             name: ClassKind(takes_writes=config.writes, is_default=config.default)
             for name, config in self.classes.items()
--- a/mothnotch/config/roster.py
+++ b/mothnotch/config/roster.py
@@ -1,4 +1,4 @@
-"""The roster file: the leaves, where no catalogue names them."""
+"""The roster file: a static list of leaves, used instead of a Consul catalogue."""
 
 from mothnotch import net
 from mothnotch.config.errors import ConfigError
@@ -8,7 +8,7 @@
 
 
 class RosterEntry(Strict):
-    """A leaf as the roster states it; `started` is in seconds of the wall clock."""
+    """A leaf in the roster; `started` is its start time as a Unix timestamp in seconds."""
 
     name: str
     address: str
@@ -19,7 +19,7 @@
     started: float | None = None
 
     def to_leaf(self) -> Leaf:
-        """Return the leaf as the endpoint list holds it."""
+        """Return the corresponding entry of the endpoint list."""
         return Leaf(
             self.name,
             self.address,
@@ -32,9 +32,9 @@
 
 
 def load_roster(text: str, cells: int, path="roster") -> list[Leaf]:
-    """Return the leaves that a roster's text states.
+    """Return the leaves listed in the text of a roster.
 
-    Raise ConfigError with all that is wrong with it, each line after `path`.
+    Raise ConfigError with all errors, each line prefixed by `path`.
     """
     leaves = [entry.to_leaf() for entry in decode(text, list[RosterEntry], path)]
     errors = [f"{path}: {line}" for line in find_errors(leaves, cells)]
--- a/mothnotch/config/sections.py
+++ b/mothnotch/config/sections.py
@@ -1,4 +1,4 @@
-"""The sections of the configuration, as structs; their attributes are the file's keys."""
+"""The sections of the configuration as structs; their attributes are the keys of the file."""
 
 from typing import Literal
 
@@ -8,14 +8,14 @@
 
 
 class TableConfig(Strict):
-    """A sharded table: its columns' types by name, and the column that it is sharded by."""
+    """A sharded table: the types of its columns by name, and the column it is sharded by."""
 
     shard_by: str
     columns: dict[str, str]
 
 
 class Ranges(Strict):
-    """Either `bounds`, or `count` ranges of equal size between `from` and `to`."""
+    """The ranges of the shard column: `bounds`, or `count` equal ranges from `from` to `to`."""
 
     bounds: list[int] | None = None
     first: int | None = msgspec.field(default=None, name="from")
@@ -23,18 +23,24 @@
     count: int | None = None
 
     def all_bounds(self) -> tuple[int, ...]:
-        """Return the bounds of all ranges in order, the last range's end included."""
+        """Return the lower bounds of all ranges in order, then the end of the last range."""
         if self.bounds is not None:
             return tuple(self.bounds)
-        step, rest = divmod(self.to - self.first, self.count)
-        # The first `rest` ranges are longer by one.
+        size, remainder = divmod(self.to - self.first, self.count)
+        # The first `remainder` ranges are larger by one.
         return tuple(
-            self.first + index * step + min(index, rest) for index in range(self.count + 1)
+            self.first + index * size + min(index, remainder) for index in range(self.count + 1)
         )
 
 
 class ClassConfig(Strict):
-    """A class of queries. `floor` under 1 lets reads be answered from that share of their worth."""
+    """A class of queries: what its answers are worth, and whether its queries may be repeated.
+
+    An answer within `aim_ms` (extended by `aim_stretch` times the cost of the query) earns all of
+    `worth`, one until `deadline_ms` the fraction `late_worth`. An answer needs at least the weight
+    `floor` of its parts; below `whole_at` it is partial and earns the fraction `partial_worth`.
+    `repeat_window_ms` is the time for which leaves drop repeats of keyed queries.
+    """
 
     aim_ms: float
     deadline_ms: float
@@ -50,12 +56,12 @@
 
     @property
     def writes(self) -> bool:
-        """Whether the class is for writes: its queries aren't idempotent by themselves."""
+        """Whether the class is for writes: its queries are not idempotent by themselves."""
         return self.repeat != "safe"
 
 
 class RootConfig(Strict):
-    """`roots`: how many roots share the leaves; `me`: which of them this one is, from 0."""
+    """This root: `roots` is the number of roots that share the leaves, `me` its index, from 0."""
 
     roots: int = 1
     me: int = 0
@@ -65,7 +71,7 @@
 
 
 class LimitsConfig(Strict):
-    """What the deployment allows a root to do with its attempts."""
+    """What a root may do with its attempts; `second_copies` allows hedged requests."""
 
     cancel: bool = True
     second_copies: bool = True
@@ -74,7 +80,12 @@
 
 
 class RulesConfig(Strict):
-    """The deployment's rules: answers in time, slow start, and the retry budget."""
+    """The deployment's rules: answers in time, slow start, and the retry budget.
+
+    A leaf that starts has the fraction `cold_from` of its capacity and is warm after `cold_s`;
+    `fall_multiple` times its capacity for `fall_s` overloads it. Retries within `budget_window_s`
+    are limited to `budget_free` plus the fraction `budget_share` of what was admitted.
+    """
 
     answer_slack_ms: float = 0.0
     drain_grace_ms: float = 250.0
@@ -88,7 +99,7 @@
 
 
 class AuthConfig(Strict):
-    """`trust` lets in whoever connects and is taken on loopback and unix addresses only."""
+    """Client authentication; `trust` means none, on loopback and unix addresses only."""
 
     method: Literal["trust", "scram-sha-256"] = "trust"
     users: dict[str, str] = {}
@@ -96,7 +107,7 @@
 
 
 class FrontConfig(Strict):
-    """Limits on the clients' connections; `message_limit` is in bytes."""
+    """Limits on client connections; `message_limit` is in bytes."""
 
     most_connections: int = 1000
     message_limit: int = 1 << 20
@@ -107,11 +118,11 @@
 
 
 class MemoryConfig(Strict):
-    """Rows of all queries together, held in memory and on disk."""
+    """Limits on the rows that all queries together hold in memory and on disk."""
 
     limit_bytes: int = 256 << 20
     disk_bytes: int = 4 << 30
-    # Folder of the sorted runs on disk; None: the system's folder for temporary files.
+    # Directory of the sorted runs on disk; None: the system's directory for temporary files.
     directory: str | None = None
 
 
@@ -128,7 +139,7 @@
 
 
 class LogConfig(Strict):
-    """The log's format and the least level that is written."""
+    """The format of the log and the lowest level that is written."""
 
     format: Literal["console", "json"] = "json"
     level: Literal["debug", "info", "warning", "error"] = "info"
--- a/mothnotch/config/strict.py
+++ b/mothnotch/config/strict.py
@@ -1,7 +1,7 @@
-"""The base of every section: unknown keys are errors, and nothing changes after loading."""
+"""The base class of all configuration sections."""
 
 import msgspec
 
 
 class Strict(msgspec.Struct, forbid_unknown_fields=True, frozen=True):
-    """A part of a configuration; a key that it doesn't know is an error, not ignored."""
+    """An immutable section of the configuration; an unknown key is an error."""
