--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -17,7 +17,7 @@
 from mothnotch.decisions.balancer import Balancer
 from mothnotch.net import SocketNetwork
 from mothnotch.node import answer_reader, call_writer, client_connection, log, root
-from mothnotch.node.config import read
+from mothnotch.node.config import parse
 from mothnotch.root.dispatcher import Dispatcher
 from mothnotch.standins import platform
 from mothnotch.standins.platform_settings import CELLS, REACH, options
@@ -113,7 +113,7 @@
 
     async def run():
         async with trio.open_nursery() as nursery:
-            made = root.NodeRoot(read(text.encode()), SocketNetwork(), log.Log())
+            made = root.NodeRoot(parse(text.encode()), SocketNetwork(), log.Log())
             await nursery.start(made.run)
             take, post = made.pool.answer_reader.take_frame, made.core.post
 
--- a/mothnotch/node/__init__.py
+++ b/mothnotch/node/__init__.py
@@ -1,3 +1,3 @@
-"""The platform's way in and out of the same core: HTTP clients, leaves that speak frames, discovery
-by watch.
+"""The root's platform frontend and backend around the shared core: HTTP clients, leaves that speak
+frames, and discovery by a watch.
 """
--- a/mothnotch/node/__main__.py
+++ b/mothnotch/node/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mothnotch.node`: one real root on the platform, in the foreground."""
+"""`python -m mothnotch.node`: run one root on the platform, in the foreground."""
 
 import ctypes.util
 import gc
@@ -6,15 +6,15 @@
 import signal
 import sys
 
-# Signals that came before anybody received them. Taken from the first moment on: one that comes
-# while the rest is imported must not end the program.
-EARLY = []
+# Signals received before a receiver is installed. They are handled from the start, so that a signal
+# during the imports does not terminate the process.
+EARLY_SIGNALS = []
 for number in (signal.SIGHUP, signal.SIGTERM):
-    signal.signal(number, lambda received, _frame: EARLY.append(received))
+    signal.signal(number, lambda received, _frame: EARLY_SIGNALS.append(received))
 
-# Trio looks for the library that names threads, and that look-up starts /sbin/ldconfig: a program,
-# which the platform refuses, and a fork at each start. Nothing found, the threads stay without
-# names. Harm: none but that.
+# While it is imported, trio looks up the C library that names threads, and ctypes does that by
+# running /sbin/ldconfig. The platform forbids running other programs, and it would cost a fork at
+# each start. Without the library, threads stay unnamed; nothing else is affected.
 find_library = ctypes.util.find_library
 ctypes.util.find_library = lambda name: None
 import trio  # noqa: E402
@@ -30,8 +30,8 @@
 
 async def serve(config, path: str, log: Log):
     """Run a root until SIGTERM or SIGINT stops it."""
-    if signal.SIGTERM in EARLY:
-        log.info("stopping", signal=signal.SIGTERM)  # it listens to nobody yet
+    if signal.SIGTERM in EARLY_SIGNALS:
+        log.info("stopping", signal=signal.SIGTERM)  # nothing to shut down: it does not listen yet
         return
     with trio.open_signal_receiver(signal.SIGHUP, signal.SIGTERM, signal.SIGINT) as received:
         async with trio.open_nursery() as nursery:
@@ -42,18 +42,18 @@
                 nursery.cancel_scope.cancel()
 
             await nursery.start(run)
-            for number in EARLY:
+            for number in EARLY_SIGNALS:
                 os.kill(os.getpid(), number)
             gc.collect()
-            gc.freeze()  # what is there now stays: it need not be looked at again
-            await root.signals(received)
+            gc.freeze()  # exclude the long-lived startup objects from later collections
+            await root.handle_signals(received)
 
 
 def main() -> int:
-    """Run a root and return the exit status: 2 for a configuration that is wrong, 1 if the system
-    refuses something it needs.
+    """Run a root and return the exit status: 2 for an invalid configuration, 1 if the system
+    refuses something that the root needs.
     """
-    sys.stderr = LineStream(standard_error())  # nothing that is printed may wait for its reader
+    sys.stderr = LineStream(standard_error())  # printing never blocks on a reader
     path = os.environ.get("BALANCER_CONFIG", "")
     log = Log()
     try:
--- a/mothnotch/node/arrival_times.py
+++ b/mothnotch/node/arrival_times.py
@@ -1,36 +1,37 @@
-"""When the bytes of a connection arrived: a request counts from its own last byte, not from what
-follows it.
+"""Arrival times of a connection's bytes: a request's timeout counts from the request's own last
+byte, not from bytes that follow it.
 
-Bound: one entry a read whose bytes are not used up; the connection bounds what it reads ahead.
+Bound: one entry for each read whose bytes are not consumed yet; the connection bounds the bytes
+that it reads ahead.
 """
 
 from collections import deque
 
 
 class ArrivalTimes:
-    """The reads of a connection whose bytes are not used up yet. Times are trio's seconds."""
+    """The reads of a connection whose bytes are not consumed yet. Times are on trio's clock."""
 
     def __init__(self):
-        """Nothing is read yet."""
+        """Start without any read."""
         self.total_bytes = 0
-        # (total bytes after the read, when its last byte arrived, when its first did at the
-        # earliest), oldest first
+        # (total bytes after the read, arrival time of its last byte, earliest possible arrival time
+        # of its first byte), oldest first
         self.reads = deque()
 
     def clear(self):
-        """Forget all reads, as all that came is used up."""
+        """Forget all reads, as all received bytes are consumed."""
         self.reads.clear()
 
     def add(self, size_bytes: int, last_s: float, first_s: float):
-        """Add a read, given when its last and its first byte arrived."""
+        """Add a read, given the arrival times of its last and its first byte."""
         self.total_bytes += size_bytes
         self.reads.append((self.total_bytes, last_s, first_s))
 
     def take_until(self, end_bytes: int) -> float | None:
-        """Return when the byte before `end_bytes` arrived, and forget the reads before its own.
+        """Return the arrival time of the byte before `end_bytes`; forget the reads before its own.
 
-        None if that read is forgotten. In the middle of a read it is the time of the read's first
-        byte.
+        Return None if that read is already forgotten. Within a read only the time of the first byte
+        is a safe estimate, so it is returned for every byte but the last.
         """
         while self.reads and self.reads[0][0] < end_bytes:
             self.reads.popleft()
--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -1,7 +1,7 @@
-"""A client's connection: HTTP in, one answer after another out.
+"""A client's connection: receives HTTP requests and sends the answers in order.
 
-h11 holds the protocol; what comes ahead of an open request is buffered within a bound and read once
-that has its answer. When the connection ends is the job of `client_connections`.
+h11 implements the protocol. Pipelined requests behind an open one are buffered up to a bound, and
+read once that has its answer. `client_connections` decides when the connection is closed.
 """
 
 import math
@@ -15,27 +15,29 @@
 from mothnotch.node.arrival_times import ArrivalTimes
 from mothnotch.node.closing import ClientCloseReason
 
-# Read at once.
+# Maximum size of one read.
 READ_BYTES = 1 << 15
-# Of later requests, buffered while one is open: else one client could fill the root's memory.
-AHEAD_BYTES = 1 << 16
-# Thrown away at once, and in all after a last answer.
-DISCARD_BYTES = 1 << 18
+# Maximum size of pipelined requests that are buffered while one is open: otherwise one client could
+# exhaust the root's memory.
+MAX_PIPELINED_BYTES = 1 << 16
+# Maximum size of one read of discarded data, and of all data discarded after a last answer.
+MAX_DISCARDED_BYTES = 1 << 18
 JSON = "application/json"
 TEXT = "text/plain"
 
 
 class ClientConnection(BufferedWriter):
-    """A client's connection: `feed` and the end of its query drive it.
+    """A client's connection, driven by `feed` and by the end of its query.
 
-    `since_s`: of connecting, of the first byte of a request, or of the last answer, whichever was
-    last. `arrived_s`: when the last byte of the request at hand came. `partial`: some of a next
-    request has come. `truncated`: bytes were thrown away, and nothing that comes is read any more.
-    `closing`: its last answer is given; `lingering`: and all of it is written.
+    `since_s`: the start of its current timeout: the time of connecting, of the first byte of a
+    request or of the last answer, whichever was last. `arrived_s`: arrival time of the last byte of
+    the current request. `partial`: part of a next request was received. `truncated`: more pipelined
+    bytes came than are buffered, and further input is ignored. `closing`: the last answer was
+    given; `lingering`: and it is written completely.
     """
 
     def __init__(self, connections, handler, nursery, stream):
-        """`connections` ends it, `handler` takes its requests."""
+        """`connections` closes it, `handler` processes its requests."""
         super().__init__(connections.context.network, nursery, stream)
         self.context = connections.context
         self.connections = connections
@@ -48,7 +50,7 @@
         self.method = None
         self.since_s = trio.current_time()
         self.arrivals = ArrivalTimes()
-        # Of the first read: some of it may have come as early as the connection.
+        # For the first read: its first bytes may be as old as the connection.
         self.waited_since_s = self.network.waited_since(stream)
         self.arrived_s = self.since_s
         self.ahead_bytes = 0
@@ -61,26 +63,26 @@
 
     @property
     def is_idle(self) -> bool:
-        """Return whether it is between requests, with nothing of a next one read."""
+        """Return whether it is between requests, with no byte of a next one read."""
         return self.lingering or (self.query is None and not self.partial and not self.unsent)
 
-    def due_s(self, share) -> float | None:
-        """Return when the sweep is to end it; None while a query is open."""
+    def expires_s(self, limits) -> float | None:
+        """Return when the sweep must end it by its limits; None while a query is open."""
         if self.lingering:
-            return self.since_s + share.linger_s
+            return self.since_s + limits.linger_s
         if self.unsent:
-            return self.since_s + share.send_timeout_s
+            return self.since_s + limits.send_timeout_s
         if self.query is not None:
             return None
         if self.served and not self.partial:
-            return self.since_s + share.client_idle_timeout_s
-        return self.since_s + share.request_timeout_s
+            return self.since_s + limits.client_idle_timeout_s
+        return self.since_s + limits.request_timeout_s
 
     # ---- requests in ----
 
     def feed(self, data: bytes, at_s: float):
-        """Take what the client sent; b"" is its end. Raise BadRequestError or h11's error if it
-        cannot be read.
+        """Process data from the client; b"" is the end of its stream. Raise BadRequestError or
+        h11's error if the data is not a valid request.
         """
         if not data:
             self.connections.close(self, ClientCloseReason.LEFT)
@@ -92,8 +94,8 @@
             return
         if self.query is not None or self.unsent:
             self.ahead_bytes += len(data)
-            if self.ahead_bytes > AHEAD_BYTES:
-                # What is buffered is answered; what follows gets an error.
+            if self.ahead_bytes > MAX_PIPELINED_BYTES:
+                # Buffered requests are answered, then the connection ends with an error.
                 self.truncated = True
                 return
             self.handler.shorten_deadline(self, data, at_s)
@@ -104,7 +106,7 @@
         self.advance()
 
     def advance(self):
-        """Go on as far as what has come allows: to the end of it, or to an open query."""
+        """Process received data until it is consumed or a query is open."""
         while self.query is None and not self.unsent and not self.dead and not self.closing:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
@@ -114,23 +116,23 @@
                 self._on_head(event)
             elif isinstance(event, h11.Data):
                 self.body += event.data
-                if len(self.body) > requests.BODY_BYTES:
+                if len(self.body) > requests.MAX_BODY_BYTES:
                     raise requests.BadRequestError(
-                        413, f"a body of more than {requests.BODY_BYTES} bytes"
+                        413, f"a body of more than {requests.MAX_BODY_BYTES} bytes"
                     )
             elif isinstance(event, h11.EndOfMessage):
                 self._on_request()
-            else:  # PAUSED or ConnectionClosed: nothing more is read here
+            else:  # PAUSED or ConnectionClosed: no further request is read
                 return
 
     def _discard(self, data):
-        """Count what comes behind the last answer; too much of it ends the connection."""
+        """Count data received after the last answer; too much of it closes the connection."""
         self.discarded_bytes += len(data)
-        if self.lingering and self.discarded_bytes > DISCARD_BYTES:
+        if self.lingering and self.discarded_bytes > MAX_DISCARDED_BYTES:
             self.connections.close(self, ClientCloseReason.TOO_MUCH_BEHIND)
 
     def _receive(self, data, at_s):
-        """Hand data to h11, and note when it came."""
+        """Pass data to h11, and record its arrival time."""
         if not self.http.trailing_data[0]:
             self.arrivals.clear()
         first_s = min(self.network.earliest(at_s), self.waited_since_s)
@@ -138,9 +140,9 @@
         self.arrivals.add(len(data), at_s, first_s)
         self.http.receive_data(data)
 
-    def _more_is_read(self):
-        """Whether more of this client's requests has been read, or lies there to be read, than the
-        one at hand.
+    def _has_more_input(self):
+        """Return whether data beyond the current request was received, reading from the socket if
+        necessary.
         """
         if self.http.trailing_data[0]:
             return True
@@ -154,46 +156,46 @@
         return bool(data)
 
     def _on_need_data(self):
-        """All that came is used up but the start of a next request, which h11 buffers."""
+        """Handle that all data is consumed but the start of a next request, which h11 buffers."""
         self.partial = self.head is not None or bool(self.http.trailing_data[0])
         if self.truncated:
             raise requests.BadRequestError(
-                413, f"more than {AHEAD_BYTES} bytes sent ahead of an answer"
+                413, f"more than {MAX_PIPELINED_BYTES} bytes sent ahead of an answer"
             )
         if self.context.stopping and self.served and not self.partial:
-            # Nothing of a next request has come: this was the last answer here.
+            # No byte of a next request was received, so the last answer has been given.
             self.closing = True
             self.connections.half_close(self)
 
     def _on_head(self, head):
-        """Reject what can be rejected by its head before any of the body is buffered."""
+        """Reject a request that is invalid by its head before any of its body is buffered."""
         self.method = head.method
         has_length = False
         is_chunked = False
         for name, value in head.headers:
             if name == b"content-length":
                 has_length = True
-                if len(value) > 9 or int(value) > requests.BODY_BYTES:
+                if len(value) > 9 or int(value) > requests.MAX_BODY_BYTES:
                     raise requests.BadRequestError(
-                        413, f"a body of more than {requests.BODY_BYTES} bytes"
+                        413, f"a body of more than {requests.MAX_BODY_BYTES} bytes"
                     )
             elif name == b"transfer-encoding":
                 is_chunked = True
         if has_length and is_chunked:
-            # One of the two hides another request from whoever believes the other.
+            # Request smuggling: parsers that trust different headers see different requests.
             raise requests.BadRequestError(400, "both Content-Length and Transfer-Encoding")
         self.head = head
         if self.http.they_are_waiting_for_100_continue:
             self.send(self.http.send(h11.InformationalResponse(status_code=100, headers=[])))
 
     def _on_request(self):
-        """Serve a request that has come whole."""
+        """Serve a completely received request."""
         head = self.head
         body = self.body
         self.head = None
         self.body = bytearray()
         self.partial = False
-        # What came with it counts for the next.
+        # The remaining bytes belong to the next request.
         self.ahead_bytes = len(self.http.trailing_data[0])
         arrived_s = self.arrivals.take_until(self.arrivals.total_bytes - self.ahead_bytes)
         if arrived_s is not None:
@@ -202,8 +204,8 @@
         if path == "/api" and head.method == b"POST":
             self.handler.submit(self, query_string, head.headers, bytes(body))
         elif path in ("/-/ready", "/-/healthy") and head.method in (b"GET", b"HEAD"):
-            ready = path == "/-/healthy" or self.context.ready()
-            self.answer(200 if ready else 503, b"ready" if ready else b"not ready", TEXT)
+            is_ready = path == "/-/healthy" or self.context.is_ready()
+            self.answer(200 if is_ready else 503, b"ready" if is_ready else b"not ready", TEXT)
         else:
             raise requests.BadRequestError(
                 404 if path != "/api" else 405, "POST /api and GET /-/ready are served"
@@ -215,20 +217,20 @@
         self,
         status: int,
         body: bytes,
-        kind: str = JSON,
+        content_type: str = JSON,
         retry_after_us: float = 0,
         close: bool = False,
     ):
-        """Send the one answer to the request at hand; `close`: as the last one."""
+        """Send the answer to the current request; `close`: it is the last on this connection."""
         if not close and self.context.stopping and not self.truncated:
-            close = not self._more_is_read()
-        headers = [("Content-Type", kind), ("Content-Length", str(len(body)))]
+            close = not self._has_more_input()
+        headers = [("Content-Type", content_type), ("Content-Length", str(len(body)))]
         if retry_after_us:
             headers.append(("Retry-After", f"{retry_after_us / 1e6:.3f}"))
         if close:
             headers.append(("Connection", "close"))
         data = self.http.send(h11.Response(status_code=status, headers=headers))
-        if self.method != b"HEAD":  # to which h11 takes no body
+        if self.method != b"HEAD":  # h11 accepts no body in answer to HEAD
             data += self.http.send(h11.Data(data=body))
         data += self.http.send(h11.EndOfMessage())
         self.query = None
@@ -244,8 +246,8 @@
             self.connections.half_close(self)
 
     def fail(self, status: int, text: str):
-        """Answer what cannot be read with an error, and end the connection: what follows on it
-        means nothing.
+        """Answer an invalid request with an error, and end the connection, as data that follows an
+        invalid request cannot be interpreted.
         """
         if self.dead or self.closing:
             return
@@ -256,12 +258,12 @@
             self.connections.close(self, ClientCloseReason.DEFECT)
 
     def on_write_drained(self):
-        """Go on after an answer that had to wait for its socket."""
+        """Continue after an answer that had to wait for the socket is written."""
         if self.closing:
             self.connections.half_close(self)
         else:
             self.connections.run_step(self, self.advance)
 
     def on_connection_lost(self):
-        """Close it, as its stream is lost."""
+        """Close the connection, as its stream is lost."""
         self.connections.close(self, ClientCloseReason.LEFT)
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -1,10 +1,11 @@
-"""The connections of all clients, and how each ends.
-
-`half_close` follows a last answer: nothing more is sent, and what still comes is read for a while,
-as a close with bytes unread would be a reset and could destroy that answer. `close` is between
-requests, not if one has come meanwhile (`nothing_unread`), or at once. A client's end of sending
-counts as its disconnecting. A request has to come whole, and its answer to be taken, in the times
-of decisions/resource_limits.py; one sweep watches over all of them.
+"""The connections of all clients, and how they are closed.
+
+`half_close` follows a last answer: nothing more is sent, and input is still read for a while, as
+closing a socket with unread data would reset the connection and could destroy that answer. An idle
+connection is closed (`close`) only if no request has arrived meanwhile (`confirm_idle`). A client
+that ends its sending direction counts as disconnected. Requests must be received, and answers be
+read by the client, within the timeouts of decisions/resource_limits.py; one periodic sweep enforces
+them.
 """
 
 import h11
@@ -19,35 +20,35 @@
 from mothnotch.node.frontend_context import FrontendContext
 from mothnotch.node.request_handler import RequestHandler
 
-# How often times are looked at: short beside the shortest of them (linger_s).
-SWEEP_S = 0.25
+# Interval of checking the timeouts: short compared with the shortest of them (linger_s).
+SWEEP_INTERVAL_S = 0.25
 
 
 class ClientConnections:
-    """The connections of a frontend's clients, `share.max_clients` at most: past it some go."""
+    """The connections of a frontend's clients; beyond the limit `max_clients`, some are closed."""
 
     def __init__(self, context: FrontendContext, handler: RequestHandler):
-        """`handler`: knows their open requests."""
+        """`handler`: processes the clients' requests and tracks the open ones."""
         self.context = context
         self.handler = handler
-        self.clients = {}  # as keys, in the order they came
+        self.clients = {}  # an ordered set: connections as keys, in the order of accepting
         self.closed = dict.fromkeys(ClientCloseReason, 0)
 
     def add(self, client: ClientConnection):
-        """Add a connection that was accepted; past the share of clients, some go for it."""
+        """Add an accepted connection; beyond the limit, others are closed for it."""
         self.clients[client] = None
         self.context.counts["connections"] += 1
         self.context.network.prepare(client.stream)
-        if len(self.clients) > self.context.share.max_clients:
+        if len(self.clients) > self.context.resource_limits.max_clients:
             self.shed()
 
     # ---- steps of a client's protocol ----
 
     def run_step(self, client: ClientConnection, step, *args):
-        """Run a step of a client's protocol; what cannot be read ends the connection with an error.
+        """Run a step of a client's protocol; invalid input ends the connection with an error.
 
-        No error comes out of it: whoever runs it, another connection's task, the sweep or the
-        core's turn, must not end by it.
+        It raises nothing: the caller may be another connection's task, the sweep or the core's
+        turn, which must continue.
         """
         try:
             step(*args)
@@ -56,12 +57,12 @@
         except h11.RemoteProtocolError as error:
             client.fail(error.error_status_hint, str(error))
         except Exception as error:
-            self.on_defect(client, error)
+            self.on_unexpected_error(client, error)
 
-    def on_defect(self, client: ClientConnection, error: Exception):
-        """End a connection on an unexpected error; what was taken is answered.
+    def on_unexpected_error(self, client: ClientConnection, error: Exception):
+        """End a connection after an unexpected error; its open request is answered with an error.
 
-        A defect of the root's must cost this connection, not every client of this root.
+        A defect must fail this connection only, not the whole root.
         """
         self.context.log.error("unexpected error", error=repr(error))
         try:
@@ -72,10 +73,10 @@
         if not client.lingering:
             self.close(client, ClientCloseReason.DEFECT)
 
-    # ---- ends ----
+    # ---- closing ----
 
     def half_close(self, client: ClientConnection):
-        """Send nothing more, as its last answer is written."""
+        """End the sending direction, as the last answer is written."""
         if client.dead:
             return
         client.lingering = True
@@ -86,8 +87,8 @@
             self.close(client, ClientCloseReason.LEFT)
 
     def close(self, client: ClientConnection, reason: ClientCloseReason):
-        """Close a connection. Its open request is given up; of its own accord the root closes none
-        that has one.
+        """Close a connection, and abandon its open request. The root must not close a connection
+        with an open request for a reason of its own; that is checked.
         """
         if client.dead:
             return
@@ -113,9 +114,9 @@
         shut(client.stream)
         self.handler.abandon(client)
 
-    def nothing_unread(self, client: ClientConnection) -> bool:
-        """Return whether an idle connection may be closed; if something has come on it that is not
-        read yet, read it instead.
+    def confirm_idle(self, client: ClientConnection) -> bool:
+        """Return whether an idle connection may be closed; if it has unread data, process that and
+        return False.
         """
         try:
             data = self.context.network.receive_now(client.stream, READ_BYTES)
@@ -126,44 +127,44 @@
         return not data
 
     def shed(self):
-        """Close some connections past the share of clients (decisions/resource_limits.py); a client
-        that has asked nothing yet gets an error, at least.
+        """Close connections beyond the limit, in the order of decisions/resource_limits.py. A
+        client that has not been served yet is sent an error first.
         """
-        share = self.context.share
+        limits = self.context.resource_limits
         idle = [client for client in self.clients if client.is_idle]
-        for client in resource_limits.clients_to_close(idle, len(self.clients), share.max_clients):
-            if len(self.clients) <= share.max_clients:
+        for client in resource_limits.clients_to_close(idle, len(self.clients), limits.max_clients):
+            if len(self.clients) <= limits.max_clients:
                 break
             if client.lingering:
                 self.close(client, ClientCloseReason.LAST_ANSWER)
-            elif self.nothing_unread(client):
+            elif self.confirm_idle(client):
                 self.context.counts["shed"] += 1
                 if not client.served:
                     client.fail(503, "too many connections")
                 self.close(client, ClientCloseReason.SHED)
 
     def close_idle(self):
-        """Close what is idle and has been served, as the root stops."""
+        """Close idle connections that have been served, as the root stops."""
         for client in list(self.clients):
             if (
                 client.is_idle
                 and client.served
                 and not client.lingering
-                and self.nothing_unread(client)
+                and self.confirm_idle(client)
             ):
                 self.close(client, ClientCloseReason.STOPPING)
 
     async def sweep(self):
-        """End, until cancelled, the connections that are past their time."""
+        """End connections whose timeout has expired, until cancelled."""
         while True:
-            await trio.sleep(SWEEP_S)
+            await trio.sleep(SWEEP_INTERVAL_S)
             now_s = trio.current_time()
             for client in list(self.clients):
-                due_s = client.due_s(self.context.share)
-                if due_s is not None and due_s <= now_s:
-                    self._end_overdue(client)
+                expires_s = client.expires_s(self.context.resource_limits)
+                if expires_s is not None and expires_s <= now_s:
+                    self._end_expired(client)
 
-    def _end_overdue(self, client):
+    def _end_expired(self, client):
         self.context.counts["slow"] += not client.served
         if client.partial and not client.closing:
             client.fail(408, "the request did not come whole in time")
@@ -171,5 +172,5 @@
             self.close(client, ClientCloseReason.LAST_ANSWER)
         elif client.unsent:
             self.close(client, ClientCloseReason.ANSWER_NOT_TAKEN)
-        elif self.nothing_unread(client):
+        elif self.confirm_idle(client):
             self.close(client, ClientCloseReason.IDLE)
--- a/mothnotch/node/config.py
+++ b/mothnotch/node/config.py
@@ -1,29 +1,29 @@
-"""The configuration file of a real root, checked as a whole; what is not known here is skipped."""
+"""The configuration file of a platform root; validated as a whole, unknown keys are ignored."""
 
 import math
 from dataclasses import dataclass
 
 import msgspec
 
-from mothnotch.decisions import settings as simulator
+from mothnotch.decisions import settings as simulator_settings
 from mothnotch.decisions.interface import Settings
 from mothnotch.net import AddressError, parse_address
 from mothnotch.node import listing
 
-# The largest file read: a path that names something endless must not fill the memory.
-FILE_BYTES = 32 << 20
-# Descriptors below which no share of them is left for clients and leaves.
-SOCKETS_LEAST = 32
-# When a leaf closes what is idle, where the settings don't say.
-IDLE_CLOSE_US = 60_000_000
+# Maximum size of the file: a path to an endless device must not exhaust the memory.
+MAX_FILE_BYTES = 32 << 20
+# Minimum number of descriptors: with fewer, none would be left for clients and leaves.
+MIN_SOCKETS = 32
+# Default idle time after which a leaf closes a connection, where the settings do not state one.
+DEFAULT_LEAF_IDLE_CLOSE_US = 60_000_000
 
 
 class ConfigError(ValueError):
-    """What is wrong, in one line."""
+    """An invalid configuration; the message is one line."""
 
 
 class Limits(msgspec.Struct):
-    """What the machine gives this root; `sockets`: descriptors."""
+    """Resources that the machine grants to this root; `sockets`: file descriptors."""
 
     cores: float = 1.0
     memory_mb: float = 2048
@@ -31,7 +31,7 @@
 
 
 class File(msgspec.Struct):
-    """The file as it is written; `settings` are the simulator's."""
+    """The file's JSON object; `settings` has the simulator's format, `known` is a first listing."""
 
     name: str
     listen: str
@@ -44,8 +44,9 @@
 
 @dataclass(slots=True)
 class Config:
-    """What the root takes from the file. `streams`: parts on one connection at once. `idle_us`:
-    after which a leaf may close a connection. `most_open`: queries and parts.
+    """The validated values. `initial_listing`: leaves to use until discovery answers. `streams`:
+    concurrent parts on one leaf connection. `leaf_idle_close_us`: idle time after which a leaf may
+    close a connection. `max_open`: maximum number of open queries and parts together.
     """
 
     name: str
@@ -53,46 +54,46 @@
     discovery: str
     seed: int
     limits: Limits
-    known: listing.Listing | None
+    initial_listing: listing.Listing | None
     settings: Settings
-    shards: int
+    shard_count: int
     streams: int
-    idle_us: int
-    most_open: float
+    leaf_idle_close_us: int
+    max_open: float
 
 
 def load(path: str) -> Config:
-    """Return the checked configuration; ConfigError names the file and the place."""
+    """Return the validated configuration; ConfigError names the file and the invalid key."""
     try:
         with open(path, "rb") as file:
-            raw = file.read(FILE_BYTES + 1)
+            raw = file.read(MAX_FILE_BYTES + 1)
     except OSError as error:
         raise ConfigError(f"{path}: cannot be read: {error.strerror}") from None
-    if len(raw) > FILE_BYTES:
-        raise ConfigError(f"{path}: more than {FILE_BYTES} bytes")
-    return read(raw, path)
+    if len(raw) > MAX_FILE_BYTES:
+        raise ConfigError(f"{path}: larger than {MAX_FILE_BYTES} bytes")
+    return parse(raw, path)
 
 
-def read(raw: bytes, path: str = "configuration") -> Config:
-    """Return the checked configuration of a file's text; ConfigError begins with `path`."""
+def parse(raw: bytes, path: str = "configuration") -> Config:
+    """Return the validated configuration of a file's bytes; ConfigError begins with `path`."""
     try:
         file = msgspec.json.decode(raw, type=File)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
         raise ConfigError(f"{path}: {error}") from None
     _check_file(file, path)
     try:
-        settings = simulator.parse_settings(file.settings)
+        settings = simulator_settings.parse_settings(file.settings)
         limits = file.settings.get("limits", {})
         family = file.settings["familyInfo"]
-        shards = int(family.get("slabs", settings.cell_count))
+        shard_count = int(family.get("slabs", settings.cell_count))
         streams = int(limits.get("multiplex") or 1)
-        idle_us = int(limits.get("idleCloseUs") or IDLE_CLOSE_US)
-        most_open = limits.get("openCap")
+        leaf_idle_close_us = int(limits.get("idleCloseUs") or DEFAULT_LEAF_IDLE_CLOSE_US)
+        max_open = limits.get("openCap")
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{path}: settings: {type(error).__name__}: {error}") from None
-    if shards < 1 or streams < 1 or settings.cell_count < 1 or not settings.classes:
+    if shard_count < 1 or streams < 1 or settings.cell_count < 1 or not settings.classes:
         raise ConfigError(
-            f"{path}: settings: slabs, positions, multiplex and lanes must not be empty"
+            f"{path}: settings: slabs, positions, multiplex and lanes must not be zero or empty"
         )
     return Config(
         file.name,
@@ -102,10 +103,10 @@
         file.limits,
         file.known,
         settings,
-        shards,
+        shard_count,
         streams,
-        idle_us,
-        math.inf if most_open is None else most_open,
+        leaf_idle_close_us,
+        math.inf if max_open is None else max_open,
     )
 
 
@@ -116,9 +117,9 @@
         except AddressError as error:
             raise ConfigError(f"{path}: {name}: {error}") from None
     limits = file.limits
-    if not (limits.cores > 0 and limits.memory_mb > 0 and limits.sockets >= SOCKETS_LEAST):
+    if not (limits.cores > 0 and limits.memory_mb > 0 and limits.sockets >= MIN_SOCKETS):
         raise ConfigError(
-            f"{path}: limits: cores, memory_mb and sockets (32 at least) must be above 0"
+            f"{path}: limits: cores and memory_mb must be above 0, sockets at least 32"
         )
 
 
--- a/mothnotch/node/frontend.py
+++ b/mothnotch/node/frontend.py
@@ -1,20 +1,20 @@
 """The HTTP frontend: accepts clients' connections and reads each in a task of its own.
 
-Bounds: a head of 16 KiB (h11's), a body of 64 KiB, one open request a connection and as much again
-buffered of what comes ahead of it. What is buffered is answered; what comes past that is read and
-thrown away, and its connection ends with an error.
+Bounds: a head of 16 KiB (h11's limit), a body of 64 KiB, and one open request per connection, with
+64 KiB of pipelined requests buffered behind it. Buffered requests are answered; bytes beyond the
+buffer are read and discarded, and the connection ends with an error.
 """
 
 import trio
 
 from mothnotch.net import CONNECTION_LOST_ERRORS, RETRY_PAUSE_S, serve
-from mothnotch.node.client_connection import DISCARD_BYTES, READ_BYTES, ClientConnection
+from mothnotch.node.client_connection import MAX_DISCARDED_BYTES, READ_BYTES, ClientConnection
 from mothnotch.node.client_connections import ClientConnections
 from mothnotch.node.closing import ClientCloseReason
 from mothnotch.node.frontend_context import FrontendContext
 from mothnotch.node.request_handler import RequestHandler
 
-# Between two reads of what is thrown away anyway: so bounded, it costs other clients little.
+# Pause between two reads of discarded data, which bounds their cost to other clients.
 DISCARD_PAUSE_S = 0.01
 
 
@@ -22,7 +22,7 @@
     """The HTTP frontend of a root."""
 
     def __init__(self, context: FrontendContext):
-        """Accept nothing before `run`."""
+        """Create a frontend; it accepts no connection before `run`."""
         self.context = context
         self.handler = RequestHandler(context)
         self.connections = ClientConnections(context, self.handler)
@@ -30,17 +30,17 @@
     async def run(self, listeners: list, task_status=trio.TASK_STATUS_IGNORED):
         """Serve until cancelled."""
         async with trio.open_nursery() as self.nursery:
-            self.accepting = trio.CancelScope()
+            self.accept_scope = trio.CancelScope()
             self.nursery.start_soon(self.connections.sweep)
             task_status.started()
-            with self.accepting:
+            with self.accept_scope:
                 await serve(
                     listeners, self._serve_client, self.nursery, failed=self._on_accept_failed
                 )
             await trio.sleep_forever()
 
     async def _serve_client(self, stream):
-        """The task of a connection."""
+        """Read a connection until it is closed, and record why it was closed."""
         client = ClientConnection(self.connections, self.handler, self.nursery, stream)
         self.connections.add(client)
         reason = ClientCloseReason.LEFT
@@ -50,25 +50,25 @@
             pass
         except Exception as error:
             reason = ClientCloseReason.DEFECT
-            self.connections.on_defect(client, error)
+            self.connections.on_unexpected_error(client, error)
         self.connections.close(client, reason)
 
     async def _read_client(self, client):
-        """Read a connection until it is closed."""
+        """Read a connection and process its data until it is closed."""
         network = self.context.network
         while not client.dead:
-            most_bytes = READ_BYTES
+            max_bytes = READ_BYTES
             if client.lingering or client.truncated:
                 await trio.sleep(DISCARD_PAUSE_S)
-                most_bytes = DISCARD_BYTES
+                max_bytes = MAX_DISCARDED_BYTES
                 if client.dead:
                     return
-            data, at_s = await network.receive(client.stream, most_bytes)
+            data, at_s = await network.receive(client.stream, max_bytes)
             if client.dead:
                 return
             if data and client.query is None:
-                # A client that has disconnected behind a request is not worked for: the end of its
-                # stream is seen before the request is begun.
+                # No work is started for a client that has already disconnected: detect the end of
+                # its stream before processing its request.
                 more = network.receive_now(client.stream, READ_BYTES)
                 if more == b"":
                     data = b""
@@ -77,36 +77,36 @@
             self.connections.run_step(client, client.feed, data, at_s)
 
     def _on_accept_failed(self, error):
-        self.context.log.error("a connection cannot be taken", error=str(error))
+        self.context.log.error("cannot accept a connection", error=str(error))
 
     # ---- graceful shutdown ----
 
     def begin_shutdown(self, answer_by_s: float):
-        """Give each connection's last answer with its close, and all answers by `answer_by_s`."""
+        """Close each connection with its last answer, and give all answers by `answer_by_s`."""
         self.context.stopping = True
         self.context.answer_by_s = answer_by_s
 
     async def stop(self, listeners: list):
-        """Accept no new connections but those that wait already, and close what is idle; what was
-        taken is answered.
+        """Accept the backlog and then no further connections; close idle ones. Requests that were
+        accepted are answered.
         """
-        self.accepting.cancel()
+        self.accept_scope.cancel()
         self.connections.close_idle()
         for listener in listeners:
-            await self._take_backlog(listener)
+            await self._accept_backlog(listener)
             await listener.aclose()
 
-    async def _take_backlog(self, listener):
-        """Accept what waits to be accepted. An accept that fails is made again for as long as
-        answers may still be given: a request may have been written behind it.
+    async def _accept_backlog(self, listener):
+        """Accept all connections of the backlog. An accept that fails is retried for as long as
+        answers may still be given: the client may have sent a request already.
         """
-        until_s = self.context.answer_by_s
+        retry_until_s = self.context.answer_by_s
         while True:
             try:
                 stream = self.context.network.accept_now(listener)
             except OSError as error:
                 self._on_accept_failed(error)
-                if trio.current_time() >= until_s:
+                if trio.current_time() >= retry_until_s:
                     return
                 await trio.sleep(RETRY_PAUSE_S)
                 continue
--- a/mothnotch/node/frontend_context.py
+++ b/mothnotch/node/frontend_context.py
@@ -1,4 +1,4 @@
-"""What the modules of the HTTP frontend share: the core, limits, counters, and whether it stops."""
+"""State shared by the modules of the HTTP frontend: core, limits, counters, shutdown state."""
 
 import math
 from collections.abc import Callable
@@ -15,16 +15,16 @@
 class FrontendContext:
     """Shared by a frontend, its connections and its request handler.
 
-    `shards`: how many the table has. `ready`: whether the root may be sent requests. `stopping`:
-    a graceful shutdown has begun, and all has to be answered by `answer_by_s`.
+    `shard_count`: shards of the table. `is_ready()`: whether the root may receive requests.
+    `stopping`: a graceful shutdown has begun, and all requests must be answered by `answer_by_s`.
     """
 
     core: object
     network: object
     log: object
-    share: ResourceLimits
-    shards: int
-    ready: Callable[[], bool]
+    resource_limits: ResourceLimits
+    shard_count: int
+    is_ready: Callable[[], bool]
     stopping: bool = False
     answer_by_s: float = math.inf
     counts: dict[str, int] = field(default_factory=_counts)
--- a/mothnotch/node/listing.py
+++ b/mothnotch/node/listing.py
@@ -1,4 +1,4 @@
-"""Reads discovery's list of leaves, which comes as JSON over a watch. No I/O."""
+"""Decode discovery's list of leaves, which a watch delivers as JSON. No I/O."""
 
 import re
 
@@ -6,14 +6,14 @@
 
 from mothnotch.decisions import endpoint_list
 
-# State as discovery names it -> state of an endpoint.
+# Endpoint state by discovery's name for it.
 STATES = {"Ready": "up", "Terminating": "draining", "Gone": "removed"}
-# Strings, whole or cut, and what opens and closes a value of several lines.
-MARKS = re.compile(rb'"(?:[^"\\]|\\.)*"?|[{}\[\]]')
+# Strings, complete or cut off at the end of a line, and the brackets of multi-line values.
+STRING_OR_BRACKET = re.compile(rb'"(?:[^"\\]|\\.)*"?|[{}\[\]]')
 
 
 class Target(msgspec.Struct):
-    """A leaf as discovery lists it; `boot_ms`: when it started, on the wall clock, 0 if unknown."""
+    """A leaf as discovery lists it; `boot_ms`: its start time on the wall clock, 0 if unknown."""
 
     uid: str
     endpoint: str
@@ -25,7 +25,7 @@
 
 
 class Listing(msgspec.Struct):
-    """A list at a version: complete, or of those leaves that changed since the one before."""
+    """A list at a version: complete, or only the leaves that changed since the previous version."""
 
     version: int = msgspec.field(name="rev")
     targets: list[Target]
@@ -36,7 +36,7 @@
 
 
 def leaves(listing: Listing) -> list[endpoint_list.Leaf]:
-    """Return the leaves of a list. One in a state not known takes nothing new."""
+    """Return the leaves of a list. A leaf in an unknown state counts as draining."""
     return [
         endpoint_list.Leaf(
             target.uid,
@@ -51,37 +51,37 @@
     ]
 
 
-class Lines:
-    """Cuts a watch's bytes into lists. A list may be indented over several lines: it ends with the
-    line that closes what it opened.
+class ListingReader:
+    """Split a watch's bytes into lists. A list may be indented over several lines: it ends with the
+    line that closes its outermost bracket.
     """
 
     def __init__(self, limit_bytes: int):
-        """`limit_bytes`: of a list that isn't complete yet, past which `feed` raises EOFError."""
+        """`limit_bytes`: maximum size of an incomplete list; beyond it `feed` raises EOFError."""
         self.limit_bytes = limit_bytes
         self.buffered = bytearray()
         self.line_start = 0
         self.depth = 0
 
     def feed(self, data: bytes) -> list[Listing | None]:
-        """Return what has come whole: a Listing, or None for an empty line, by which the agent says
-        that nothing changed. Raise msgspec.DecodeError at what is no list.
+        """Return what `data` completes: a Listing for each list, None for each empty line, which is
+        the agent's heartbeat. Raise msgspec.DecodeError for anything else.
         """
         self.buffered += data
         found = []
         while (end := self.buffered.find(b"\n", self.line_start)) >= 0:
             line = bytes(self.buffered[self.line_start : end])
             self.line_start = end + 1
-            for mark in MARKS.findall(line):
-                self.depth += (mark in b"{[") - (mark in b"}]")
+            for token in STRING_OR_BRACKET.findall(line):
+                self.depth += (token in b"{[") - (token in b"}]")
             if self.depth > 0 and line.strip():
-                continue  # its next lines belong to it
-            # Closed, or an empty line within it: then it was cut, and is an error.
+                continue  # the list continues on the next line
+            # The list is closed, or an empty line cut it off; decoding the latter raises an error.
             text = bytes(self.buffered[:end])
             self.depth = 0
             del self.buffered[: self.line_start]
             self.line_start = 0
             found.append(decode(text) if text.strip() else None)
         if len(self.buffered) > self.limit_bytes:
-            raise EOFError(f"a list of more than {self.limit_bytes} bytes")
+            raise EOFError(f"the list exceeds {self.limit_bytes} bytes")
         return found
--- a/mothnotch/node/log.py
+++ b/mothnotch/node/log.py
@@ -1,9 +1,9 @@
-"""Writes log lines as JSON to standard error, with the methods that structlog's loggers have.
+"""Write log lines as JSON to standard error, through the same methods as structlog's loggers.
 
-structlog itself would cost a small root 8 MB. What repeats is bounded: past `most` lines of one
-event in `span_s`, they are only counted. A line that cannot be written now, as nobody reads or the
-disk is full, is dropped and counted: no query may wait for its log, nor fail for it. The next line
-that is written says how many were dropped.
+structlog itself would cost a small root 8 MB. Repeats are rate limited: beyond `max_repeats` lines
+of one event in `window_s`, further lines are only counted. A line that cannot be written at once,
+because nobody reads the stream or the disk is full, is dropped and counted: no query may wait or
+fail because of its log. The next line that is written tells how many were dropped.
 """
 
 import contextlib
@@ -15,97 +15,97 @@
 
 from mothnotch.net.line_output import PIPE_BUF, LineOutput, standard_error
 
-# Events whose repeats are counted at once; past it all counts begin anew.
-EVENTS_MOST = 256
-# What is kept of a line that would not fit into PIPE_BUF, in bytes of its fields' JSON and in
-# characters of its event.
-FIELDS_SHOWN_BYTES = 1024
-EVENT_SHOWN = 128
+# Maximum number of events with a repeat count; beyond it all counts are reset.
+MAX_COUNTED_EVENTS = 256
+# Size to which a line longer than PIPE_BUF is cut: bytes of its fields' JSON, characters of its
+# event.
+SHORTENED_FIELDS_BYTES = 1024
+SHORTENED_EVENT_LENGTH = 128
 
 
 @dataclass(slots=True)
-class Repeats:
-    """The lines of one event: since when they are counted, how many came, how many of these are not
-    shown and not yet told of.
+class RepeatCounter:
+    """The lines of one event: when the current window began, how many lines it has had, and how
+    many suppressed lines no written line has reported yet.
     """
 
-    since_s: float
+    window_start_s: float
     count: int = 0
-    hidden: int = 0
+    suppressed: int = 0
 
 
 class Log:
-    """Writes lines to a stream."""
+    """A logger that writes to a stream."""
 
     def __init__(
         self,
         stream=None,
-        most: int = 20,
-        span_s: float = 10.0,
+        max_repeats: int = 20,
+        window_s: float = 10.0,
         clock: Callable[[], float] = time.monotonic,
     ):
-        """`stream`: standard error if None; of one with a descriptor, that is written. `clock` is
-        monotonic: a step of the wall clock must not silence an event.
+        """`stream`: standard error if None; if it has a descriptor, lines are written to that
+        directly. `clock` is monotonic: a step of the wall clock must not silence an event.
         """
         self.output = standard_error() if stream is None else _output_of(stream)
-        self.most = most
-        self.span_s = span_s
+        self.max_repeats = max_repeats
+        self.window_s = window_s
         self.clock = clock
-        self.seen = {}  # event -> Repeats
+        self.counters = {}  # RepeatCounter by event
 
     def info(self, event: str, **fields):
-        """Write a line on what the root does."""
+        """Log an action of the root."""
         self._write("info", event, fields)
 
     def warning(self, event: str, **fields):
-        """Write a line on what others do wrong."""
+        """Log a fault that is not the root's own."""
         self._write("warning", event, fields)
 
     def error(self, event: str, exc_info: bool = False, **fields):
-        """Write a line on what somebody should look into."""
+        """Log a problem that an operator should look into."""
         self._write("error", event, fields)
 
     def _write(self, level, event, fields):
         now_s = self.clock()
-        repeats = self._repeats(event, now_s)
-        if now_s - repeats.since_s >= self.span_s:
-            repeats.since_s = now_s
-            repeats.count = 0
-        repeats.count += 1
-        if repeats.count > self.most:
-            repeats.hidden += 1
+        counter = self._counter(event, now_s)
+        if now_s - counter.window_start_s >= self.window_s:
+            counter.window_start_s = now_s
+            counter.count = 0
+        counter.count += 1
+        if counter.count > self.max_repeats:
+            counter.suppressed += 1
             return
         line = {"t": round(time.time(), 3), "level": level, "event": event, **fields}
-        if repeats.hidden:
-            line["not_shown_before"] = repeats.hidden
+        if counter.suppressed:
+            line["not_shown_before"] = counter.suppressed
         if self.output.dropped:
             line["dropped_before"] = self.output.dropped
         if self.output.write(_encode(line)):
-            repeats.hidden = 0
+            counter.suppressed = 0
 
-    def _repeats(self, event, now_s):
-        if event not in self.seen and len(self.seen) > EVENTS_MOST:
-            self.seen.clear()
-        return self.seen.setdefault(event, Repeats(now_s))
+    def _counter(self, event, now_s):
+        if event not in self.counters and len(self.counters) > MAX_COUNTED_EVENTS:
+            self.counters.clear()
+        return self.counters.setdefault(event, RepeatCounter(now_s))
 
 
 class StreamOutput:
-    """Lines to a text stream without a descriptor, as tests have."""
+    """Write lines to a text stream without a descriptor, as used by tests."""
 
     def __init__(self, stream):
-        """`stream` has `write` and `flush`."""
+        """`stream` provides `write` and `flush`."""
         self.dropped = 0
         self._stream = stream
 
     def write(self, line: bytes) -> bool:
-        """Write a line; return whether the stream took it."""
+        """Write a line; return whether the stream accepted it."""
         try:
             self._stream.write(line.decode())
         except (OSError, ValueError):
             self.dropped += 1
             return False
         self.dropped = 0
-        with contextlib.suppress(OSError, ValueError):  # it stays in the stream's buffer
+        with contextlib.suppress(OSError, ValueError):  # the line stays in the stream's buffer
             self._stream.flush()
         return True
 
@@ -118,13 +118,15 @@
 
 
 def _encode(line):
-    """Return a line as JSON, shortened to what a pipe takes as a whole."""
+    """Return a line as JSON, shortened to the size that a pipe accepts atomically."""
     data = msgspec.json.encode(line, enc_hook=repr) + b"\n"
     if len(data) <= PIPE_BUF:
         return data
     kept = ("t", "level", "not_shown_before", "dropped_before")
     short = {name: line[name] for name in kept if name in line}
     fields = {name: value for name, value in line.items() if name not in (*kept, "event")}
-    text = msgspec.json.encode(fields, enc_hook=repr)[:FIELDS_SHOWN_BYTES].decode(errors="ignore")
-    short |= {"event": line["event"][:EVENT_SHOWN], "shortened": text}
+    text = msgspec.json.encode(fields, enc_hook=repr)[:SHORTENED_FIELDS_BYTES].decode(
+        errors="ignore"
+    )
+    short |= {"event": line["event"][:SHORTENED_EVENT_LENGTH], "shortened": text}
     return msgspec.json.encode(short) + b"\n"
--- a/mothnotch/node/request_handler.py
+++ b/mothnotch/node/request_handler.py
@@ -1,4 +1,4 @@
-"""Hands clients' requests to the core, and sends the answers in the turn that decided them."""
+"""Submit clients' requests to the core, and send each answer in the turn that decides it."""
 
 import re
 
@@ -10,41 +10,41 @@
 from mothnotch.node.frontend_context import FrontendContext
 from mothnotch.root.core import OverloadedError
 
-# The stated time of a request that is not parsed yet, as it waits behind another.
+# The timeout of a request that is not parsed yet, as it is queued behind another.
 TIMEOUT_HEADER = re.compile(rb"(?i)\nx-timeout-ms:[ \t]*([0-9]{1,9})")
 
 
 class RequestHandler:
-    """The open requests of a frontend; at most one a connection."""
+    """The open requests of a frontend, at most one per connection."""
 
     def __init__(self, context: FrontendContext):
-        """Nothing is open yet."""
+        """Start without open requests."""
         self.context = context
         self.open_request_ids = set()
 
     def submit(self, client: ClientConnection, query_string: str, headers, body: bytes):
-        """Hand a request to the core; raise BadRequestError if it may not run."""
+        """Submit a request to the core; raise BadRequestError if it is invalid."""
         core = self.context.core
-        request_id, request = requests.read(
+        request_id, request = requests.parse(
             query_string,
             headers,
             body,
             int(client.arrived_s * 1e6),
             core.settings,
-            self.context.shards,
+            self.context.shard_count,
             self.context.answer_by_s * 1e6,
         )
         if request_id in self.open_request_ids:
             raise requests.BadRequestError(409, "X-Request-ID: that request is open")
         self.context.counts["requests"] += 1
 
-        def finished(outcome):
+        def on_finished(outcome):
             self._on_outcome(client, request_id, outcome)
 
         core.violations.check(not client.dead, Invariant.BEGUN_FOR_NOBODY, request=request_id)
         try:
             client.query = core.submit(
-                request, finished, lambda: self.context.network.has_left(client.stream)
+                request, on_finished, lambda: self.context.network.has_left(client.stream)
             )
         except OverloadedError as error:
             text = requests.encode({"error": str(error)})
@@ -57,8 +57,8 @@
             self._trace_request(client, request)
 
     def shorten_deadline(self, client: ClientConnection, data: bytes, at_s: float):
-        """Shorten the deadline of an open request to that of the first that came behind it, which
-        waits for its answer.
+        """Shorten the deadline of an open request to that of the requests in `data`, which are
+        queued behind it until it is answered.
         """
         if client.query is None:
             return
@@ -68,7 +68,7 @@
             self.context.core.shorten_deadline(client.query, int(latest_s * 1e6))
 
     def abandon(self, client: ClientConnection):
-        """Give up a client's open request, if any: its client has disconnected."""
+        """Abandon a client's open request, if any, as the client has disconnected."""
         if client.query is None:
             return
         query = client.query
@@ -77,9 +77,9 @@
         self.context.core.client_disconnected(query)
 
     def finish(self, client: ClientConnection, query, outcome):
-        """Send the final answer of a client's open query, then read on."""
+        """Send the final answer of a client's query, then process its next request."""
         if outcome.status is FinalStatus.ANSWERED:
-            client.answer(200, requests.answered(query, outcome))
+            client.answer(200, requests.encode_answer(query, outcome))
         elif outcome.status is FinalStatus.REJECTED:
             client.answer(
                 503,
@@ -108,5 +108,5 @@
         try:
             self.finish(client, query, outcome)
         except Exception as error:
-            # Else this turn of the core would end, and all that it holds.
-            client.connections.on_defect(client, error)
+            # Otherwise the error would end this turn of the core, which serves other clients too.
+            client.connections.on_unexpected_error(client, error)
--- a/mothnotch/node/requests.py
+++ b/mothnotch/node/requests.py
@@ -1,6 +1,4 @@
-"""A client's request, checked as a whole before anything of it counts, and the bodies of answers.
-No I/O.
-"""
+"""Parsing of clients' requests, which are validated as a whole, and encoding of answers. No I/O."""
 
 import math
 import re
@@ -10,19 +8,20 @@
 from mothnotch.decisions.interface import Idempotency
 from mothnotch.root.request import PartSpec, Request
 
-# The longest body: what one client may have the root hold.
-BODY_BYTES = 1 << 16
-# Of a session id: what one client may have the root hold of it.
-SESSION_ID_LENGTH = 256
-# Ids and keys stand in a line of a leaf's frame, so they hold no space.
-WORD = re.compile(r"[0-9A-Za-z._:-]{1,128}")
+# Maximum size of a body: bounds the memory used per client.
+MAX_BODY_BYTES = 1 << 16
+# Maximum length of a session id, which the root keeps in memory; longer ones are cut.
+MAX_SESSION_ID_LENGTH = 256
+# Request ids and idempotency keys: they are part of a line in a leaf's frame, so they contain no
+# space.
+IDENTIFIER = re.compile(r"[0-9A-Za-z._:-]{1,128}")
 MILLISECONDS = re.compile(r"[0-9]{1,9}")
 HASH = re.compile(r"[0-9A-Fa-f]{1,32}")
-# Portions may add up to so little beside 1, by rounding.
+# Rounding error by which the sum of the portions may differ from 1.
 PORTION_TOLERANCE = 1e-3
-# A stated time is at most so many times the longest deadline of a class.
-TIMEOUT_MULTIPLE = 10
-HEADERS = (
+# Maximum timeout of a request, as a multiple of the longest deadline of any class.
+MAX_TIMEOUT_MULTIPLE = 10
+KNOWN_HEADERS = (
     "x-request-id",
     "x-priority-class",
     "x-tenant-id",
@@ -33,16 +32,16 @@
 
 
 class BadRequestError(ValueError):
-    """An error for the client, with its HTTP `status`; nothing of the request has run."""
+    """An invalid request, of which nothing has run; `status` is the HTTP status of the answer."""
 
     def __init__(self, status: int, text: str):
-        """`text` says what is wrong."""
+        """`text`: the error message for the client."""
         super().__init__(text)
         self.status = status
 
 
 class Range(msgspec.Struct):
-    """A shard that is asked, and its portion of the answer's worth; `price`: its guessed work."""
+    """A queried shard; `portion`: its share of the answer's value; `price`: its estimated cost."""
 
     range: int
     portion: float
@@ -58,7 +57,7 @@
 
 
 class Blob(msgspec.Struct):
-    """A shard's part of an answer."""
+    """One shard's part of an answer."""
 
     range: int
     blob: str
@@ -72,12 +71,12 @@
 
 
 class Payload:
-    """What the leaf's driver needs of a part."""
+    """The data of a part that the leaf connection sends."""
 
     __slots__ = ("wire_id", "key", "text")
 
     def __init__(self, wire_id: str, key: str | None, text: bytes):
-        """`key`: if the request is idempotent by key."""
+        """`key`: the idempotency key; None if the class does not use one."""
         self.wire_id = wire_id
         self.key = key
         self.text = text
@@ -87,42 +86,42 @@
 encode = msgspec.json.Encoder().encode
 
 
-def read(
+def parse(
     query_string: str,
     headers,
     body: bytes,
     arrived_us: int,
     settings,
-    shards: int,
+    shard_count: int,
     answer_by_us: float = math.inf,
 ) -> tuple[str, Request]:
-    """Return a client's request id and its request, to be answered by `answer_by_us` at the latest.
+    """Return a client's request id and its request, whose deadline is at most `answer_by_us`.
 
-    Raise BadRequestError if it may not run.
+    Raise BadRequestError if the request is invalid.
     """
-    found = _known_headers(headers)
-    request_id = found.get("x-request-id", "")
-    if not WORD.fullmatch(request_id):
+    known_headers = _known_headers(headers)
+    request_id = known_headers.get("x-request-id", "")
+    if not IDENTIFIER.fullmatch(request_id):
         raise BadRequestError(400, "X-Request-ID: one word of letters, digits, . _ : - is needed")
-    query_class = settings.classes.get(found.get("x-priority-class", ""))
+    query_class = settings.classes.get(known_headers.get("x-priority-class", ""))
     if query_class is None:
         raise BadRequestError(400, "X-Priority-Class: no such class")
-    tenant = _tenant(found, settings)
-    timeout_us = _timeout_us(found, settings)
-    key = _idempotency_key(found, query_class)
-    parts = _parts(body, shards, request_id, key)
+    tenant = _tenant(known_headers, settings)
+    timeout_us = _timeout_us(known_headers, settings)
+    key = _idempotency_key(known_headers, query_class)
+    parts = _parts(body, shard_count, request_id, key)
     return request_id, Request(
         query_class.name,
         tenant,
         _session_id(query_string),
         int(min(arrived_us + timeout_us, answer_by_us)),
         parts,
-        found.get("x-retried") == "1",
+        known_headers.get("x-retried") == "1",
     )
 
 
-def answered(query, outcome) -> bytes:
-    """Return the body of an answer that was served."""
+def encode_answer(query, outcome) -> bytes:
+    """Return the body of a successful answer."""
     return encode(
         Answer(
             outcome.complete,
@@ -136,14 +135,14 @@
 
 
 def _known_headers(headers):
-    """The headers that mean something here, as text; one that stands twice with different values is
-    an error.
+    """Return the known headers as text. A header that is repeated with a different value is an
+    error.
     """
     found = {}
     for raw_name, raw_value in headers:
         name = raw_name.decode("latin-1").lower()
         value = raw_value.decode("latin-1").strip()
-        if name in HEADERS and found.setdefault(name, value) != value:
+        if name in KNOWN_HEADERS and found.setdefault(name, value) != value:
             raise BadRequestError(400, f"{name} stands twice")
     return found
 
@@ -160,7 +159,7 @@
     if MILLISECONDS.fullmatch(timeout):
         timeout_us = int(timeout) * 1000
         longest_us = max(query_class.deadline_us for query_class in settings.classes.values())
-        if 0 < timeout_us <= TIMEOUT_MULTIPLE * longest_us:
+        if 0 < timeout_us <= MAX_TIMEOUT_MULTIPLE * longest_us:
             return timeout_us
     raise BadRequestError(400, "X-Timeout-Ms: whole milliseconds are needed")
 
@@ -169,54 +168,54 @@
     if query_class.idempotency is not Idempotency.WITH_KEY:
         return None
     key = headers.get("idempotency-key", "")
-    if not WORD.fullmatch(key):
+    if not IDENTIFIER.fullmatch(key):
         raise BadRequestError(400, "Idempotency-Key: one word is needed in this class")
     return key
 
 
 def _session_id(query_string):
-    """The value of `sid` in a query string, or None."""
+    """Return the value of `sid` in a query string, or None."""
     for pair in query_string.split("&"):
         name, _, value = pair.partition("=")
         if name == "sid":
-            return value[:SESSION_ID_LENGTH] or None
+            return value[:MAX_SESSION_ID_LENGTH] or None
     return None
 
 
-def _parts(body, shards, request_id, key):
+def _parts(body, shard_count, request_id, key):
     try:
-        asked = decode(body)
+        request_body = decode(body)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        # The last: nested too deep.
+        # RecursionError: the body is nested too deeply.
         raise BadRequestError(400, f"body: {error}") from None
-    _check_ranges(asked.ranges, shards)
-    text = asked.predicate.encode("utf-8", "surrogatepass")
+    _check_ranges(request_body.ranges, shard_count)
+    text = request_body.predicate.encode("utf-8", "surrogatepass")
     return tuple(
         PartSpec(
-            asked_range.range,
-            asked_range.portion,
-            _cost_us(asked_range.price),
-            Payload(f"{request_id}.{asked_range.range}", key, text),
+            shard_range.range,
+            shard_range.portion,
+            _cost_us(shard_range.price),
+            Payload(f"{request_id}.{shard_range.range}", key, text),
         )
-        for asked_range in asked.ranges
+        for shard_range in request_body.ranges
     )
 
 
-def _check_ranges(ranges, shards):
+def _check_ranges(ranges, shard_count):
     if not ranges:
         raise BadRequestError(400, "ranges: none")
     seen = set()
     total = 0.0
-    for asked_range in ranges:
-        shard = asked_range.range
-        portion = asked_range.portion
-        if not 0 <= shard < shards:
+    for shard_range in ranges:
+        shard = shard_range.range
+        portion = shard_range.portion
+        if not 0 <= shard < shard_count:
             raise BadRequestError(400, f"ranges: no shard {shard}")
         if shard in seen:
             raise BadRequestError(400, f"ranges: shard {shard} stands twice")
         if not 0 < portion <= 1 + PORTION_TOLERANCE:
             raise BadRequestError(400, f"ranges: portion {portion} of shard {shard}")
-        if asked_range.hash is not None and not HASH.fullmatch(asked_range.hash):
+        if shard_range.hash is not None and not HASH.fullmatch(shard_range.hash):
             raise BadRequestError(400, f"ranges: hash of shard {shard}")
         seen.add(shard)
         total += portion
@@ -225,5 +224,5 @@
 
 
 def _cost_us(price):
-    """A part's guessed work in whole microseconds; None where it says nothing."""
+    """Return a part's estimated cost in whole microseconds; None if missing or implausible."""
     return int(price) if price is not None and math.isfinite(price) and 1 <= price <= 1e10 else None
--- a/mothnotch/node/root.py
+++ b/mothnotch/node/root.py
@@ -1,4 +1,4 @@
-"""Assembly of a real root on the platform, and what signals do to it."""
+"""Assembly of a platform root, and its handling of signals."""
 
 import errno
 import signal
@@ -21,12 +21,12 @@
 from mothnotch.root.core import Core
 from mothnotch.root.trace import Trace
 
-# How often a root that stops looks whether any client is left.
+# Interval at which a stopping root checks whether any client is left.
 STOP_POLL_S = 0.02
-# For making a connection to a leaf, where the settings don't say.
-CONNECT_TIMEOUT_US = 1_000_000
-# Errors of listening that may pass: the address is in use, or descriptors or memory are short.
-LISTEN_AGAIN = (
+# Default timeout for connecting to a leaf, where the settings do not state one.
+DEFAULT_CONNECT_TIMEOUT_US = 1_000_000
+# Transient errors of listening: the address is in use, or descriptors or memory are short.
+TRANSIENT_LISTEN_ERRORS = (
     errno.EADDRINUSE,
     errno.EADDRNOTAVAIL,
     errno.ENFILE,
@@ -37,18 +37,18 @@
 
 
 class NodeRoot:
-    """A root of the platform: core, pool of leaf connections, watch and HTTP frontend."""
+    """A platform root: core, pool of leaf connections, discovery watch and HTTP frontend."""
 
     def __init__(self, config: Config, network, log, path: str | None = None):
-        """`path`: of the configuration file, which `reload` reads again."""
+        """`path`: the configuration file that `reload` reads again."""
         self.config = config
         self.network = network
         self.log = log
         self.path = path
         settings = config.settings
-        self.share = derive_limits(
+        self.resource_limits = derive_limits(
             config.limits.sockets,
-            config.idle_us,
+            config.leaf_idle_close_us,
             max(query_class.deadline_us for query_class in settings.classes.values()),
         )
         self.pool = ConnectionPool(
@@ -56,57 +56,70 @@
             log,
             config.streams,
             settings.parts_per_call,
-            self.share.max_leaf_connections,
-            self.share.leaf_idle_timeout_s,
-            (settings.limits.connect_timeout_us or CONNECT_TIMEOUT_US) / 1e6,
+            self.resource_limits.max_leaf_connections,
+            self.resource_limits.leaf_idle_timeout_s,
+            (settings.limits.connect_timeout_us or DEFAULT_CONNECT_TIMEOUT_US) / 1e6,
             settings.limits.hedging,
         )
-        self.core = Core(settings, config.seed, self.pool, log, max_open=config.most_open)
+        self.core = Core(settings, config.seed, self.pool, log, max_open=config.max_open)
         self.core.trace = Trace.from_environment()
         self.pool.report_to(self.core.violations, self.core.trace)
         self.watch = DiscoveryWatch(
             network, config.discovery, self.core, self.pool, log, Random(config.seed).random
         )
         self.frontend = HttpFrontend(
-            FrontendContext(self.core, network, log, self.share, config.shards, self.watch.is_ready)
+            FrontendContext(
+                self.core,
+                network,
+                log,
+                self.resource_limits,
+                config.shard_count,
+                self.watch.is_ready,
+            )
         )
         self.addresses = []
-        self.reloading = trio.CancelScope()
+        self.reload_scope = trio.CancelScope()
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Serve until cancelled or stopped; started once it listens."""
+        """Serve until cancelled or stopped; `task_status` is started once the root listens."""
         async with trio.open_nursery() as self.nursery:
             await self.nursery.start(self.pool.run)
             await self.nursery.start(self.core.run)
-            self.watch.start(self.config.known)
+            self.watch.start(self.config.initial_listing)
             self.nursery.start_soon(self.watch.run)
             self.listeners = await self._listen()
             self.addresses = [self.network.name(listener) for listener in self.listeners]
             await self.nursery.start(self.frontend.run, self.listeners)
             self.log.info("serving", name=self.config.name, addresses=self.addresses)
             task_status.started(self)
-        taken, ends, left = self.core.unanswered()
-        if taken != ends:
-            self.log.error("taken and not answered", taken=taken, ends=ends, queries=left)
+        accepted, finished, open_ids = self.core.unanswered()
+        if accepted != finished:
+            self.log.error(
+                "accepted queries not answered", taken=accepted, ends=finished, queries=open_ids
+            )
         self.log.info("stopped", **self.counts())
 
     async def _listen(self):
-        """Listeners at the configured address. One that is still in use, as the process before this
-        one has not quite ended, or that cannot be had for want of descriptors or memory, is asked
-        for again.
+        """Return listeners at the configured address. Retry while the previous process still uses
+        the address, and while descriptors or memory are short.
         """
-        until_s = trio.current_time() + LISTEN_TIMEOUT_S
+        retry_until_s = trio.current_time() + LISTEN_TIMEOUT_S
         while True:
             try:
                 return await self.network.listen(self.config.listen)
             except OSError as error:
-                if error.errno not in LISTEN_AGAIN or trio.current_time() >= until_s:
+                if (
+                    error.errno not in TRANSIENT_LISTEN_ERRORS
+                    or trio.current_time() >= retry_until_s
+                ):
                     raise
-                self.log.warning("cannot listen yet", address=self.config.listen, error=str(error))
+                self.log.warning(
+                    "cannot listen; retrying", address=self.config.listen, error=str(error)
+                )
             await trio.sleep(LISTEN_RETRY_S)
 
     def counts(self) -> dict:
-        """Return the counters of all parts, as the last log line shows them."""
+        """Return the counters of all components, which the last log line contains."""
         connections = self.frontend.connections
         return {
             **self.core.counts,
@@ -121,22 +134,22 @@
         }
 
     async def reload(self):
-        """Read the configuration again, and follow its discovery.
+        """Read the configuration again, and use its discovery address. Nothing else is changed.
 
-        A file that is wrong keeps the old one; it may have been caught half written, or the read
-        may have failed for a moment, so that it is read again for a while.
+        If the file is invalid, the current configuration stays in use. It may have been read while
+        being written, or the read may have failed for a moment, so the read is retried for a while.
         """
-        self.reloading.cancel()
-        self.reloading = trio.CancelScope()
-        with self.reloading:
-            found = await self._load()
-            if found is not None:
-                self.log.info("new configuration", discovery=found.discovery)
-                self.watch.move(found.discovery)
+        self.reload_scope.cancel()
+        self.reload_scope = trio.CancelScope()
+        with self.reload_scope:
+            config = await self._load()
+            if config is not None:
+                self.log.info("configuration reloaded", discovery=config.discovery)
+                self.watch.change_address(config.discovery)
 
     async def _load(self):
-        """The configuration, or None if it stays wrong for all that time."""
-        until_s = trio.current_time() + RELOAD_TIMEOUT_S
+        """Return the configuration, or None if it stays invalid until the timeout."""
+        retry_until_s = trio.current_time() + RELOAD_TIMEOUT_S
         logged = False
         while True:
             try:
@@ -144,34 +157,34 @@
             except ConfigError as error:
                 if not logged:
                     self.log.error(
-                        "the new configuration is wrong; the old one stays", error=str(error)
+                        "new configuration is invalid; keeping the current one", error=str(error)
                     )
                 logged = True
-            if trio.current_time() >= until_s:
+            if trio.current_time() >= retry_until_s:
                 return None
             await trio.sleep(RELOAD_RETRY_S)
 
     async def stop(self):
-        """Go on accepting for as long as clients may still come, then finish what was taken, and
-        end.
+        """Shut down gracefully: accept connections for as long as clients may still be sent here,
+        then answer all accepted requests, and end.
         """
         if self.frontend.context.stopping:
             return
         began_s = trio.current_time()
-        answer_by_s = began_s + self.share.shutdown_answer_s
+        answer_by_s = began_s + self.resource_limits.shutdown_answer_s
         self.frontend.begin_shutdown(answer_by_s)
-        await trio.sleep_until(began_s + self.share.shutdown_accept_s)
+        await trio.sleep_until(began_s + self.resource_limits.shutdown_accept_s)
         await self.frontend.stop(self.listeners)
         with trio.move_on_at(answer_by_s + EXIT_DELAY_S):
-            # At least once: a connection that was accepted just now is not among the clients before
-            # its task has begun.
+            # Sleep at least once: a connection that was just accepted is not among the clients
+            # before its task runs.
             await trio.sleep(STOP_POLL_S)
             while self.frontend.connections.clients:
                 await trio.sleep(STOP_POLL_S)
         self.nursery.cancel_scope.cancel()
 
-    async def signals(self, received):
-        """Follow SIGHUP, SIGTERM and SIGINT, as `received` gives them, until it ends."""
+    async def handle_signals(self, received):
+        """Handle SIGHUP, SIGTERM and SIGINT, as `received` yields them, until it ends."""
         async for number in received:
             if number == signal.SIGHUP:
                 self.nursery.start_soon(self.reload)
@@ -181,5 +194,5 @@
 
 
 def _by_name(closed):
-    """The reasons that occurred, by name."""
+    """Return the counts of the reasons that occurred, by name."""
     return {reason.name: count for reason, count in closed.items() if count}
--- a/mothnotch/soak/judge.py
+++ b/mothnotch/soak/judge.py
@@ -23,7 +23,7 @@
     "unexpected error",
     "unexpected error in a turn",
     "unexpected error in the balancer",
-    "taken and not answered",
+    "accepted queries not answered",
 )
 
 
--- a/tests/support/platform_day.py
+++ b/tests/support/platform_day.py
@@ -28,7 +28,7 @@
             "settings": options(**changes),
         }
     )
-    return node_config.read(text.encode())
+    return node_config.parse(text.encode())
 
 
 class Kept:
@@ -95,7 +95,7 @@
             await nursery.start(day.discovery.run)
             known = {"rev": 40, "all": True, "targets": targets}
             found = config(day.discovery.address, known, sockets, **changes)
-            assert isinstance(found.known, listing.Listing)
+            assert isinstance(found.initial_listing, listing.Listing)
             day.root = NodeRoot(found, day.network, day.log)
             await nursery.start(day.root.run)
             with trio.fail_after(600):
--- a/tests/support/platform_rig.py
+++ b/tests/support/platform_rig.py
@@ -219,7 +219,7 @@
             "settings": options(**changes),
         }
         self.text = text
-        self.config = node_config.read(json.dumps(text).encode())
+        self.config = node_config.parse(json.dumps(text).encode())
         self.numbers = iter(range(1000))
 
     def target(self, leaf, state="Ready", where=None, boot_ms=0):
@@ -298,7 +298,7 @@
             if listed:
                 r.first = await r.watch()
                 await r.first.raw(b"\n")
-                while not r.root.watch.renewal.has_received:
+                while not r.root.watch.policy.has_received:
                     await trio.sleep(0.001)
             yield r
         r.nursery.cancel_scope.cancel()
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -4,7 +4,7 @@
 import trio
 
 from mothnotch.decisions import interface as i
-from mothnotch.node.client_connection import AHEAD_BYTES
+from mothnotch.node.client_connection import MAX_PIPELINED_BYTES
 from mothnotch.standins.platform import request
 from tests.support.platform_rig import ids, links, long, real, rig, send, until
 
@@ -222,7 +222,9 @@
             200,
             None,
         )  # late ones may be refused
-        assert AHEAD_BYTES - len(one) * 100 < kept * len(one) <= AHEAD_BYTES + len(one)
+        assert (
+            MAX_PIPELINED_BYTES - len(one) * 100 < kept * len(one) <= MAX_PIPELINED_BYTES + len(one)
+        )
 
 
 @real
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -200,7 +200,7 @@
             pass
 
     lines, clock = Lines(), [100.0]
-    log = Log(lines, most=2, span_s=10.0, clock=lambda: clock[0])
+    log = Log(lines, max_repeats=2, window_s=10.0, clock=lambda: clock[0])
     for _ in range(5):
         log.info("repeated")
     assert len(lines) == 2
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -56,17 +56,17 @@
             frontend.context.stopping = True
             await frontend.stop(r.root.listeners)
         elif end == "shed":
-            frontend.context.share = r.root.share.__class__(
+            frontend.context.resource_limits = r.root.resource_limits.__class__(
                 **{
-                    n: 0 if n == "max_clients" else getattr(r.root.share, n)
-                    for n in r.root.share.__slots__
+                    n: 0 if n == "max_clients" else getattr(r.root.resource_limits, n)
+                    for n in r.root.resource_limits.__slots__
                 }
             )
             frontend.connections.shed()
         else:
             assert (
-                kept.due_s(r.root.share) < trio.current_time()
-                and frontend.connections.nothing_unread(kept) is False
+                kept.expires_s(r.root.resource_limits) < trio.current_time()
+                and frontend.connections.confirm_idle(kept) is False
             )
         link = await r.home(0).link()
         assert await link.call() == ["r1.0"]
@@ -77,7 +77,7 @@
 @real
 async def test_past_the_share_of_clients_who_has_asked_nothing_is_told_so():
     async with rig(sockets=32) as r:
-        clients = [r.client() for _ in range(r.root.share.max_clients + 1)]
+        clients = [r.client() for _ in range(r.root.resource_limits.max_clients + 1)]
         await until(lambda: r.root.frontend.context.counts["shed"] == 1)
         assert (await clients[0].answer())[0] == 503
 
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -176,9 +176,9 @@
 
 
 def node_config(raw):
-    from mothnotch.node.config import read
+    from mothnotch.node.config import parse
 
-    return read(raw)
+    return parse(raw)
 
 
 def node_root(config, network):
@@ -203,10 +203,10 @@
 
 def node_request(query, headers, body, arrived_us):
     """(id, request) that a platform root reads; settings and shards are those of node.json."""
-    from mothnotch.node.requests import read
+    from mothnotch.node.requests import parse
 
     config = node_config((GOLDEN / "node.json").read_bytes())
-    return read(query, headers, body, arrived_us, config.settings, config.shards)
+    return parse(query, headers, body, arrived_us, config.settings, config.shard_count)
 
 
 def drill_events(lines):
--- a/tests/test_graceful_shutdown.py
+++ b/tests/test_graceful_shutdown.py
@@ -16,7 +16,7 @@
         assert (await kept.answer())[0] == 200
         r.nursery.start_soon(r.root.stop)
         await until(lambda: r.root.frontend.context.stopping)
-        r.root.frontend.accepting.cancel()  # as on a core too busy to accept
+        r.root.frontend.accept_scope.cancel()  # as on a core too busy to accept
         await trio.sleep(0.05)
         late = r.client()
         late.now(request("late", "read", (0,), timeout_ms=3000))
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -72,7 +72,7 @@
 def test_lines_past_a_full_pipe_are_dropped_and_counted():
     """Guards against a root that stops for good once nobody reads its log."""
     reader, writer = os.pipe()
-    log = Log(os.fdopen(writer, "w"), most=10_000)
+    log = Log(os.fdopen(writer, "w"), max_repeats=10_000)
     began_s = time.monotonic()
     for n in range(2_000):
         log.info("line", n=n, text="y" * 200)
@@ -129,7 +129,7 @@
     monkeypatch.setattr(line_output.os, "write", write)
     path = tmp_path / "log"
     with open(path, "w") as stream:
-        log = Log(stream, most=10_000)
+        log = Log(stream, max_repeats=10_000)
         for n in range(1_000):
             log.info("line", n=n)
         failing[0] = False
@@ -145,7 +145,7 @@
 def test_a_line_that_was_dropped_does_not_appear_later():
     """Guards against lines that a stream's buffer keeps while the disk is full."""
     with open("/dev/full", "w") as stream:
-        log = Log(stream, most=10_000)
+        log = Log(stream, max_repeats=10_000)
         for _ in range(1_000):
             log.info("line")
         assert log.output.dropped == 1_000
@@ -155,7 +155,7 @@
 def test_repeats_that_are_not_shown_are_told_though_a_line_is_dropped():
     reader, writer = full_pipe()
     now_s = [0.0]
-    log = Log(os.fdopen(writer, "w"), most=2, span_s=10, clock=lambda: now_s[0])
+    log = Log(os.fdopen(writer, "w"), max_repeats=2, window_s=10, clock=lambda: now_s[0])
     for _ in range(5):
         log.info("line")  # two dropped, three not shown
     now_s[0] = 11
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -164,7 +164,9 @@
             got = await client.answer()
             assert got is None or got[0] == 408
             assert not await client.more()  # the root's end of it
-        await trio.sleep(day.root.share.linger_s + 0.3)  # a close at once could destroy the 408
+        await trio.sleep(
+            day.root.resource_limits.linger_s + 0.3
+        )  # a close at once could destroy the 408
         assert not day.root.frontend.connections.clients and not day.world.record.seen
 
     play(test)
@@ -268,7 +270,7 @@
         assert (await old.ask("r0", "read", (0,)))[0] == 200
         silent = [await day.client() for _ in range(200)]
         assert (await (await day.client()).ask("r1", "read", (0, 1)))[0] == 200
-        assert len(day.root.frontend.connections.clients) <= day.root.share.max_clients
+        assert len(day.root.frontend.connections.clients) <= day.root.resource_limits.max_clients
         assert await old.answer() is None  # the longest idle
         await trio.sleep(3)
         assert (
@@ -572,7 +574,7 @@
             path.write_text(json.dumps(text))
             await day.root.reload()
         assert day.world.record.asks[0].final == "answered"
-        assert "the new configuration is wrong; the old one stays" in [
+        assert "new configuration is invalid; keeping the current one" in [
             event for event, _ in day.log.lines
         ]
         day.discovery.drop()
@@ -628,7 +630,7 @@
 
     text = {"name": "n0", "listen": "root:80", "discovery": "d:1", "settings": options()} | changes
     with pytest.raises(c.ConfigError, match=word) as found:
-        c.read(json.dumps(text).encode(), "file")
+        c.parse(json.dumps(text).encode(), "file")
     assert "\n" not in str(found.value)
 
 
@@ -743,7 +745,7 @@
     from mothnotch.node.log import Log
 
     out, now = StringIO(), [0.0]
-    log = Log(out, most=3, span_s=10, clock=lambda: now[0])
+    log = Log(out, max_repeats=3, window_s=10, clock=lambda: now[0])
     for _ in range(100):
         log.warning("leaf broke the protocol", leaf="s1")
     now[0] = 11
--- a/tests/test_root_errors.py
+++ b/tests/test_root_errors.py
@@ -174,5 +174,5 @@
             return dict(r.log.lines)
 
     lines = trio.run(test)
-    assert lines["taken and not answered"] == {"taken": 1, "ends": 0, "queries": ["q1"]}
+    assert lines["accepted queries not answered"] == {"taken": 1, "ends": 0, "queries": ["q1"]}
     gc.collect()
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -126,9 +126,9 @@
     text = b"\n" + json.dumps(LIST, indent=indent).encode() + b"\n\n"
     want = [None, listing.decode(json.dumps(LIST).encode()), None]
     for at in range(len(text)):
-        lines = listing.Lines(1000)
+        lines = listing.ListingReader(1000)
         assert lines.feed(text[:at]) + lines.feed(text[at:]) == want
-    lines = listing.Lines(1000)
+    lines = listing.ListingReader(1000)
     assert [found for n in range(len(text)) for found in lines.feed(text[n : n + 1])] == want
 
 
@@ -138,11 +138,11 @@
 )
 def test_a_list_that_is_cut_or_none_is_an_error_and_not_the_beginning_of_the_next(text):
     with pytest.raises(msgspec.DecodeError):
-        listing.Lines(1000).feed(text)
+        listing.ListingReader(1000).feed(text)
 
 
 def test_a_list_that_never_ends_holds_no_more_than_its_bound():
-    lines = listing.Lines(1000)
+    lines = listing.ListingReader(1000)
     with pytest.raises(EOFError):
         for _ in range(100):
             lines.feed(b"{\n" + b" " * 60)
@@ -188,7 +188,7 @@
         day.discovery.silent = True
         day.discovery.drop()
         await trio.sleep(5)
-        assert 1 < len(day.root.watch.open_scopes) <= day.root.watch.renewal.max_open
+        assert 1 < len(day.root.watch.open_scopes) <= day.root.watch.policy.max_open
         day.discovery.silent = False
         day.tell(day.leaves[0], "Terminating")
         await trio.sleep(6.1)
@@ -206,7 +206,7 @@
         new = platform.Discovery(day.network, list(day.discovery.targets.values()))
         await day.nursery.start(new.run)
         new.rev = 50
-        day.root.watch.move(new.address)
+        day.root.watch.change_address(new.address)
         await trio.sleep(0.01)
         assert new.asked
 
@@ -235,7 +235,7 @@
 
             new.chunk = chunk
         await day.nursery.start(new.run)
-        day.root.watch.move(new.address)
+        day.root.watch.change_address(new.address)
         await trio.sleep(0.2)
         servers = day.root.core.balancer.servers
         assert not servers["s0"].up and servers["s1"].up
@@ -289,10 +289,10 @@
                 }
             )
         )
-        before = day.root.config, day.root.core.settings, day.root.share
+        before = day.root.config, day.root.core.settings, day.root.resource_limits
         await day.root.reload()
         assert day.root.watch.address == "nobody:1"
-        assert before == (day.root.config, day.root.core.settings, day.root.share)
+        assert before == (day.root.config, day.root.core.settings, day.root.resource_limits)
         assert (await (await day.client()).ask("r1", "read", (0, 1)))[0] == 200
 
     play(test)
