--- a/mothnotch/cli/__init__.py
+++ b/mothnotch/cli/__init__.py
@@ -1,4 +1,4 @@
-"""The command line: a module for each kind of command, which adds its commands on import."""
+"""The command line; each module of commands registers them with the application on import."""
 
 from mothnotch.cli import day_commands, demo_commands, measurement_commands, root_commands
 from mothnotch.cli.application import app
@@ -16,5 +16,5 @@
 
 
 def main() -> None:
-    """Run the command that the process's arguments name."""
+    """Run the command given by the arguments of the process."""
     app()
--- a/mothnotch/cli/application.py
+++ b/mothnotch/cli/application.py
@@ -1,4 +1,4 @@
-"""The application that the commands are added to, and what they share."""
+"""The application that the commands are registered with, and functions that they share."""
 
 import signal
 import sys
@@ -11,19 +11,19 @@
 
 from mothnotch.config import Config, ConfigError, load, load_roster
 
-# Status of a command whose input is wrong; 1 is for one that ran and found a fault.
+# Exit status for invalid input; status 1 means that the command ran and found a fault.
 EXIT_BAD_INPUT = 2
 
 app = cyclopts.App(
     name="mothnotch",
-    help="A root for sharded tables: SQL over the PostgreSQL wire, one final answer "
+    help="A root for sharded tables: SQL over the PostgreSQL protocol, one final answer "
     "to every query.",
     version_flags=["--version"],
 )
 
 
 async def cancel_at_signal(scope: trio.CancelScope) -> None:
-    """Cancel a scope at SIGINT or SIGTERM."""
+    """Cancel the scope on SIGINT or SIGTERM."""
     with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
         async for _ in signals:
             scope.cancel()
@@ -31,14 +31,14 @@
 
 
 def exit_with_errors(errors: Iterable[str]) -> NoReturn:
-    """End the process with status 2, each error on a line of standard error."""
+    """Print each error on a line of standard error, and exit with status 2."""
     for line in errors:
         print(line, file=sys.stderr)
     sys.exit(EXIT_BAD_INPUT)
 
 
 def load_or_exit(path: Path) -> Config:
-    """Return the configuration, checked with its roster; end with status 2 if either is wrong."""
+    """Return the validated configuration; exit with status 2 if it or its roster is invalid."""
     try:
         config = load(path)
     except ConfigError as error:
@@ -56,7 +56,7 @@
         exit_with_errors(
             [
                 f"{config.roster}: cannot be read: {error.strerror}; "
-                f"name the roster in {path}: roster"
+                f"set the path of the roster in {path}: roster"
             ]
         )
     except ConfigError as error:
--- a/mothnotch/cli/bad_day.py
+++ b/mothnotch/cli/bad_day.py
@@ -1,4 +1,4 @@
-"""Choose a bad day, play it, and print how it was judged."""
+"""Select the script of a bad day, play it, and print the verdicts."""
 
 import json
 from pathlib import Path
@@ -10,10 +10,10 @@
 from mothnotch.cli.verdicts import print_verdicts, trouble_kinds
 from mothnotch.config import ConfigError
 
-# Breaches of a rule that are printed: the first ones tell what is wrong.
+# Limit on the printed breaches of a rule; the first ones suffice to tell what is wrong.
 MAX_BREACHES_PRINTED = 5
-# Queries whose client waited to the end; one that left has no latency.
-ENDED = ("answered", "refused", "failed")
+# Outcomes of queries whose client waited for the end; a query whose client left has no latency.
+ENDED_OUTCOMES = ("answered", "refused", "failed")
 
 
 def choose_day(
@@ -23,9 +23,9 @@
     bench_day: Path | None = None,
     seconds: float = 20.0,
 ) -> scripts.Script:
-    """Return the bench day's troubles, the day drawn from the seed, the script's, or the default.
+    """Return the day of the bench day file, of the drawn seed, of the script, or the default.
 
-    End the process with status 2 if a file is wrong.
+    Exit with status 2 if a file is invalid.
     """
     try:
         if bench_day is not None:
@@ -44,7 +44,7 @@
 
 
 def _read_bench_day(path: Path, seconds: float) -> scripts.Script:
-    """Return the day of a bench day file, and print what of it is left out."""
+    """Return the day in a bench day file, and print which parts of the file are left out."""
     day, notes = scripts.of_bench_day(json.loads(path.read_text(encoding="utf-8")), seconds)
     for note in notes:
         print(f"{path}: {note}")
@@ -52,14 +52,14 @@
 
 
 def play_and_judge(day: scripts.Script, seed: int, virtual: bool) -> bool:
-    """Play the day, print how it was judged, and return whether all rules held."""
+    """Play the day, print the verdicts, and return whether all rules held."""
     record = play.play_virtual(day, seed) if virtual else play.play_sockets(day, seed)
     verdicts = judge(record)
     print(
         f"seed {seed}, {'virtual' if virtual else 'sockets'}, {day.roots} roots, "
         f"{day.seconds:g} s, troubles: {trouble_kinds(day)}"
     )
-    _print_finals(record)
+    _print_outcomes(record)
     print_verdicts(verdicts, rule_width=32, max_breaches=MAX_BREACHES_PRINTED)
     _print_latencies(record, day.load.timeout_ms)
     shares = ", ".join(f"{name} {share:.3f}" for name, share in sorted(service(record).items()))
@@ -67,21 +67,23 @@
     return not any(verdict.breaches for verdict in verdicts)
 
 
-def _print_finals(record: Record) -> None:
-    """Print how many queries ended in which way."""
+def _print_outcomes(record: Record) -> None:
+    """Print the number of queries by outcome."""
     counts = {}
     for ask in record.asks:
-        final = ask.final or "none"
-        counts[final] = counts.get(final, 0) + 1
-    listed = ", ".join(f"{final} {count}" for final, count in sorted(counts.items()))
-    print(f"asked {len(record.asks)}: {listed}")
+        outcome = ask.final or "none"
+        counts[outcome] = counts.get(outcome, 0) + 1
+    summary = ", ".join(f"{outcome} {count}" for outcome, count in sorted(counts.items()))
+    print(f"asked {len(record.asks)}: {summary}")
 
 
 def _print_latencies(record: Record, timeout_ms: float) -> None:
-    """Print the percentiles of each kind of query."""
+    """Print the latency percentiles of each kind of query."""
     for kind in sorted({ask.kind for ask in record.asks}):
         latencies_s = sorted(
-            ask.ended - ask.at for ask in record.asks if ask.kind == kind and ask.final in ENDED
+            ask.ended - ask.at
+            for ask in record.asks
+            if ask.kind == kind and ask.final in ENDED_OUTCOMES
         )
         if not latencies_s:
             continue
@@ -90,5 +92,5 @@
         p99_ms = latencies_s[int(count * 0.99)] * 1000
         print(
             f"  {kind:14} {count:5} ended, p50 {p50_ms:6.0f} ms, p99 {p99_ms:6.0f} ms, "
-            f"the client's time {timeout_ms:.0f} ms"
+            f"client timeout {timeout_ms:.0f} ms"
         )
--- a/mothnotch/cli/day_commands.py
+++ b/mothnotch/cli/day_commands.py
@@ -1,7 +1,7 @@
-"""Commands that play a day and judge it: badday, fleetday.
+"""Commands that play a day of faults and judge it: badday, fleetday.
 
-What plays and judges is imported by the commands themselves: it takes long, and the other commands
-go without it.
+Each command imports the modules that play and judge only when it runs: the import is slow, and the
+other commands do not need it.
 """
 
 import sys
@@ -23,11 +23,12 @@
     bench_day: Path | None = None,
     seconds: float = 20.0,
 ):
-    """Play a bad day through real roots and judge the six rules; status 1 if one broke.
+    """Play a bad day against real roots and check the six rules; exit with status 1 if one broke.
 
-    Without SCRIPT, the day that comes with the program; with --drawn, the one drawn from the seed;
-    with --bench-day, the kinds of trouble of a bench day file, over a day of --seconds. --virtual
-    plays it in memory on a virtual clock, where the same seed gives the same day.
+    A bad day is a workload with injected faults. SCRIPT is its file; the default is the built-in
+    day. --drawn generates the day from the seed. --bench-day takes the kinds of trouble from a
+    bench day file, over a day of --seconds. --virtual runs in memory on a virtual clock, where the
+    same seed gives the same day.
     """
     from mothnotch.cli.bad_day import choose_day, play_and_judge
 
@@ -52,20 +53,20 @@
     without: str = "",
     json_file: Annotated[Path | None, cyclopts.Parameter(name="--json")] = None,
 ):
-    """Play a day of roots that speak with one another, with faults between them; status 1 if a rule
+    """Play a day of several roots with peers and faults between them; exit with status 1 if a rule
     or a bound broke.
 
-    DAY is the name of one that comes with the program (peers), or a script. Over sockets each root
-    is a process, with a relay on every link between two; --virtual plays the same in memory.
-    --breach NAME plants a defect, which the day has to catch; --breach list prints those it has.
-    --without PART (health, streams) leaves a part out. --json FILE keeps the verdicts and figures.
+    DAY is the name of a built-in day (peers), or the file of a script. By default each root is a
+    process, with a relay on the link between each two; --virtual plays the day in memory. --breach
+    NAME plants a defect that the day has to detect; --breach list prints the names of the defects.
+    --without PART (health, streams) disables a part. --json FILE stores the verdicts and figures.
     """
     from mothnotch.cli.fleet_day import check_defects, choose_day, list_breaches, play_and_judge
 
-    found = choose_day(day)
+    script = choose_day(day)
     if breach == "list":
         print("\n".join(list_breaches(day)))
         return
     check_defects(day, breach, without)
-    if not play_and_judge(found, day, seed, virtual, breach, without, json_file):
+    if not play_and_judge(script, day, seed, virtual, breach, without, json_file):
         sys.exit(1)
--- a/mothnotch/cli/demo_commands.py
+++ b/mothnotch/cli/demo_commands.py
@@ -16,11 +16,11 @@
 from mothnotch.daemon import Root
 from mothnotch.root.endpoint_file import EndpointFile
 
-# How soon leaves end after their parent.
+# Interval at which the leaves check whether their parent process still runs.
 PARENT_POLL_S = 0.5
-# How soon the demo sees that its leaves serve.
+# Interval at which the demo checks whether its leaves have written their roster.
 ROSTER_POLL_S = 0.05
-# Leaves that don't serve by then never will: the demo ends with an error instead of waiting on.
+# Leaves that do not serve by then never will: the demo fails instead of waiting forever.
 LEAVES_START_TIMEOUT_S = 60
 
 
@@ -36,10 +36,10 @@
     only: int | None = None,
     consul: str | None = None,
 ):
-    """Run the demo's stand-in leaves, or one `only`, writing their roster file. Ends with its
-    parent, if named.
+    """Run the stand-in leaves of the demo, and write their roster file once they serve.
 
-    With --consul ADDRESS a stand-in Consul agent listens there, at which the leaves are registered.
+    --only N runs leaf N alone. --parent PID ends the leaves when that parent process ends. --consul
+    ADDRESS runs a stand-in Consul agent there, with which the leaves are registered.
     """
     from mothnotch.standins.leaf import Fleet
 
@@ -48,40 +48,40 @@
             nursery.start_soon(cancel_at_signal, nursery.cancel_scope)
             if parent:
                 nursery.start_soon(_cancel_after_parent, nursery.cancel_scope, parent)
-            _, made = demo_fleet.leaves(
+            _, leaf_list = demo_fleet.leaves(
                 net.SocketNetwork(),
-                lambda seen: None,
+                lambda event: None,
                 seed=seed,
                 rows=rows,
                 address=f"{listen}:0",
                 work_ms=work_ms,
             )
-            fleet = Fleet(made, nursery)
+            fleet = Fleet(leaf_list, nursery)
             if only is None:
                 await fleet.start()
             else:
-                await nursery.start(made[only].run)
+                await nursery.start(leaf_list[only].run)
             text = demo_fleet.roster_text(fleet)
             if consul is not None:
                 agent = await demo_fleet.start_agent(net.SocketNetwork(), fleet, consul, nursery)
                 text = json.dumps({"agent": agent.address})
-            _write_whole(roster, text)
+            _write_atomically(roster, text)
 
     trio.run(run)
 
 
 async def _cancel_after_parent(scope: trio.CancelScope, parent: int) -> None:
-    """Cancel the scope once the parent process has ended, however it did."""
+    """Cancel the scope once the parent process has ended, even if it was killed."""
     while os.getppid() == parent:
         await trio.sleep(PARENT_POLL_S)
     scope.cancel()
 
 
-def _write_whole(path: Path, text: str) -> None:
-    """Write a file that is there only with all of its text: others wait for it to appear."""
-    unfinished = path.with_suffix(".new")
-    unfinished.write_text(text)
-    unfinished.rename(path)
+def _write_atomically(path: Path, text: str) -> None:
+    """Write a file that appears only with all of its text, as other processes wait for it."""
+    temporary_path = path.with_suffix(".new")
+    temporary_path.write_text(text)
+    temporary_path.rename(path)
 
 
 @app.command
@@ -93,11 +93,12 @@
     work_ms: float = 2.0,
     consul: bool = False,
 ):
-    """Stand-in leaves and a root on loopback, with sample tables; prints postgresql://... once it
-    serves.
+    """Run stand-in leaves and a root on loopback, with sample tables; print postgresql://... once
+    the root serves.
 
-    With --consul the root takes its list from a stand-in Consul agent, where the leaves and the
-    root are registered; its address is printed, and any client of Consul's can mark a leaf there.
+    With --consul the root takes the endpoint list from a stand-in Consul agent, with which the
+    leaves and the root are registered. The address of the agent is printed; any Consul client can
+    set a leaf to maintenance mode there.
     """
     try:
         log = {"format": "console", "level": "info" if consul else "warning"}
@@ -120,7 +121,7 @@
 async def _run_demo(
     config: Config, roster: Path, process: subprocess.Popen, with_consul: bool
 ) -> None:
-    """Run a root on the leaves of that process until SIGINT or SIGTERM, and print its address."""
+    """Run a root for the leaves of the process until SIGINT or SIGTERM, and print its address."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(cancel_at_signal, nursery.cancel_scope)
         await _wait_for_leaves(roster, process)
@@ -136,7 +137,7 @@
 
 
 async def _wait_for_leaves(roster: Path, process: subprocess.Popen) -> None:
-    """Return once the roster is there; raise RuntimeError if the leaves end before."""
+    """Return once the roster exists; raise RuntimeError if the leaves end first."""
     with trio.fail_after(LEAVES_START_TIMEOUT_S):
         while not roster.exists():
             if process.poll() is not None:
--- a/mothnotch/cli/fleet_day.py
+++ b/mothnotch/cli/fleet_day.py
@@ -1,4 +1,4 @@
-"""Choose a fleet day, play it, and print how it was judged."""
+"""Select the script of a fleet day, play it, and print the verdicts."""
 
 import json
 from pathlib import Path
@@ -13,50 +13,49 @@
 from mothnotch.cli.verdicts import print_verdicts, trouble_kinds
 from mothnotch.config import ConfigError
 
-# Breaches of a rule that are printed, and that are kept in the file of --json.
+# Limits on the breaches of a rule that are printed, and that are stored in the file of --json.
 MAX_BREACHES_PRINTED = 3
 MAX_BREACHES_IN_FILE = 100
-# The day whose planted defects and parts hold for a script of one's own.
+# The built-in day whose defects and optional parts also apply to scripts from files.
 DEFAULT_DAY = "peers"
 
 
 def choose_day(day: str) -> scripts.Script:
-    """Return the day of that name, or that script's; end with status 2 if there is none."""
+    """Return the built-in day of that name or the script in that file, or exit with status 2."""
     try:
-        found = scripts.FLEET_DAYS.get(day) or scripts.load(
+        script = scripts.FLEET_DAYS.get(day) or scripts.load(
             Path(day).read_text(encoding="utf-8"), day
         )
     except OSError as error:
         known = ", ".join(scripts.FLEET_DAYS)
-        exit_with_errors([f"{day}: is no day ({known}), and cannot be read: {error.strerror}"])
+        exit_with_errors(
+            [f"{day}: not a built-in day ({known}), and cannot be read: {error.strerror}"]
+        )
     except ConfigError as error:
         exit_with_errors(error.errors)
-    if found.peers is None:
+    if script.peers is None:
         exit_with_errors(
-            [
-                f"{day}: peers: is not stated; "
-                "bin/mothnotch badday plays days of roots that do not speak"
-            ]
+            [f"{day}: peers: not set; " "bin/mothnotch badday plays days of roots without peers"]
         )
-    return found
+    return script
 
 
 def list_breaches(day: str) -> list[str]:
-    """Return the names of the defects that can be planted in a day."""
+    """Return the names of the defects that can be planted in the day."""
     return list(scripts.BREACHES.get(day, scripts.BREACHES[DEFAULT_DAY]))
 
 
 def check_defects(day: str, breach: str, without: str) -> None:
-    """End with status 2 if the day can't be played with that breach, or without that part."""
+    """Exit with status 2 if the day does not support that breach, or leaving out that part."""
     known = list_breaches(day)
     if breach and breach not in known:
-        exit_with_errors([f"--breach {breach}: this day catches {', '.join(known)}"])
+        exit_with_errors([f"--breach {breach}: unknown; this day detects {', '.join(known)}"])
     parts = scripts.PARTS.get(day, scripts.PARTS[DEFAULT_DAY])
     if without and (without not in parts or breach):
         exit_with_errors(
             [
                 f"--without {without}: this day can be played without {', '.join(parts)}, "
-                "and with no breach beside"
+                "and only if --breach is not given"
             ]
         )
 
@@ -70,18 +69,18 @@
     without: str,
     json_file: Path | None,
 ) -> bool:
-    """Play the day, print how it was judged, and return whether all rules and bounds held.
+    """Play the day, print the verdicts, and return whether all rules and bounds held.
 
-    `breach` and `without` are as check_defects took them, empty for none.
+    `breach` and `without` have passed check_defects; an empty string means none.
     """
     script = msgspec.structs.replace(script, breach=f"without_{without}" if without else breach)
     play = fleet.play_virtual if virtual else fleet.play_sockets
     record, views = play(script, seed)
     verdicts = judge(record) + beliefs.judge(views)
-    planted = f", planted: {breach}" if breach else ""
+    defect_note = f", planted: {breach}" if breach else ""
     print(
         f"{day}, seed {seed}, {'virtual' if virtual else 'processes'}, {script.roots} roots, "
-        f"{script.seconds:g} s, troubles: {trouble_kinds(script)}{planted}"
+        f"{script.seconds:g} s, troubles: {trouble_kinds(script)}{defect_note}"
     )
     print_verdicts(verdicts, rule_width=40, max_breaches=MAX_BREACHES_PRINTED)
     figures = beliefs.figures(views)
@@ -100,9 +99,9 @@
     broken = [verdict.rule for verdict in verdicts if verdict.breaches]
     outcome = "BROKEN: " + "; ".join(broken) if broken else "All held"
     print(
-        f"{outcome}: a dead root was held for gone by the first after "
+        f"{outcome}: a dead root was declared gone by the first root after "
         f"{figures['first_gone_s']:.1f} s and by all after {figures['all_gone_s']:.1f} s "
-        f"(bound {views.gone_s:g} s), {len(views.views)} views were asked for, "
+        f"(bound {views.gone_s:g} s), {len(views.views)} views were requested, "
         f"and {served:.3f} of the worth was served."
     )
     return not broken
--- a/mothnotch/cli/leaf_processes.py
+++ b/mothnotch/cli/leaf_processes.py
@@ -1,4 +1,4 @@
-"""Stand-in leaves in a process of their own."""
+"""Run stand-in leaves in a separate process."""
 
 import contextlib
 import os
@@ -7,15 +7,15 @@
 from collections.abc import Iterator
 from pathlib import Path
 
-# Leaves that don't end by themselves in this time are killed: a command never hangs on them.
+# Leaves that have not exited this long after SIGTERM are killed, so that no command hangs.
 END_TIMEOUT_S = 3
 
 
 @contextlib.contextmanager
 def leaf_processes(folder: str | Path, **options) -> Iterator[tuple[Path, subprocess.Popen]]:
-    """Run stand-in leaves, ended with the block, with options of the command `leaves`.
+    """Run stand-in leaves during the block, with options of the command `leaves`.
 
-    Give the path of the roster file, which is there once the leaves serve, and their process.
+    Yield the path of the roster file, which exists once the leaves serve, and their process.
     """
     roster = Path(folder) / f"roster{options.get('only', '')}.json5"
     command = [sys.executable, "-m", "mothnotch", "leaves"]
--- a/mothnotch/cli/root_commands.py
+++ b/mothnotch/cli/root_commands.py
@@ -1,4 +1,4 @@
-"""Commands of operators, on a root's configuration: check, serve, members, peers, example."""
+"""Commands for operators of a root: check, serve, members, peers, example."""
 
 import json
 import sys
@@ -15,27 +15,27 @@
 
 @app.command
 def check(config: Path):
-    """Check a configuration and its roster; status 2 and each error on a line if anything is
-    wrong.
+    """Check a configuration and its roster; if they are invalid, print each error on a line and
+    exit with status 2.
     """
-    found = load_or_exit(config)
+    loaded = load_or_exit(config)
     print(
-        f"{config}: {len(found.tables)} tables, {len(found.bounds()) - 1} ranges, "
-        f"{len(found.classes)} classes: sound"
+        f"{config}: {len(loaded.tables)} tables, {len(loaded.bounds()) - 1} ranges, "
+        f"{len(loaded.classes)} classes: valid"
     )
 
 
 @app.command
 def serve(*, config: Path):
     """Run a root until SIGINT or SIGTERM."""
-    sys.stderr = LineStream(standard_error())  # nothing that is printed may wait for its reader
-    found = load_or_exit(config)
-    log = logs.logger(found.log.format, found.log.level)
+    sys.stderr = LineStream(standard_error())  # printing must not block on a slow reader
+    loaded = load_or_exit(config)
+    log = logs.logger(loaded.log.format, loaded.log.level)
 
     async def run():
         async with trio.open_nursery() as nursery:
             nursery.start_soon(cancel_at_signal, nursery.cancel_scope)
-            root = await nursery.start(Root(found, net.SocketNetwork(), log, cpu=cpu_time).run)
+            root = await nursery.start(Root(loaded, net.SocketNetwork(), log, cpu=cpu_time).run)
             addresses = " ".join(f"postgresql://{address}" for address in root.addresses)
             standard_output().write(f"serving {addresses}\n".encode())
 
@@ -47,31 +47,31 @@
 
 @app.command
 def members(*, config: Path):
-    """Print what each of the configuration's Consul agents says of the leaves, and what a root
-    would make of it.
+    """Print what each Consul agent in the configuration reports about the leaves, and the endpoint
+    list that a root would derive from it.
     """
     from mothnotch.consul.inspect_agents import inspect_agents
 
-    found = load_or_exit(config)
-    if found.consul is None:
+    loaded = load_or_exit(config)
+    if loaded.consul is None:
         exit_with_errors(
-            [f"{config}: consul: is not stated; the roster is the file {found.roster}"]
+            [f"{config}: consul: not set; the leaves are listed in the file {loaded.roster}"]
         )
-    for line in trio.run(inspect_agents, found, net.SocketNetwork()):
+    for line in trio.run(inspect_agents, loaded, net.SocketNetwork()):
         print(line)
 
 
 @app.command
 def peers(*, config: Path):
-    """Print what each root believes of the others, with ages; status 1 if they disagree or one does
-    not answer.
+    """Print each root's view of the others, with ages; exit with status 1 if the views differ or a
+    root does not answer.
     """
     from mothnotch.peers.fleet_views import describe_fleet
 
-    found = load_or_exit(config)
-    if found.peers is None:
-        exit_with_errors([f"{config}: peers: is not stated; this root speaks with no other"])
-    lines, agreed = trio.run(describe_fleet, found.peers, net.SocketNetwork())
+    loaded = load_or_exit(config)
+    if loaded.peers is None:
+        exit_with_errors([f"{config}: peers: not set; this root has no peers"])
+    lines, agreed = trio.run(describe_fleet, loaded.peers, net.SocketNetwork())
     for line in lines:
         print(line)
     if not agreed:
@@ -80,5 +80,5 @@
 
 @app.command
 def example():
-    """Print a configuration to start from."""
+    """Print an example configuration."""
     print(json.dumps(demo_fleet.CONFIG, indent=2))
--- a/mothnotch/cli/verdicts.py
+++ b/mothnotch/cli/verdicts.py
@@ -1,4 +1,4 @@
-"""Print the verdicts on a day that was played."""
+"""Print the verdicts on a played day."""
 
 from collections.abc import Iterable
 
@@ -7,7 +7,7 @@
 
 
 def print_verdicts(verdicts: Iterable[Verdict], rule_width: int, max_breaches: int) -> None:
-    """Print a line for each rule, and under it its first breaches."""
+    """Print a line for each rule, followed by its first breaches."""
     for verdict in verdicts:
         breaches = verdict.breaches
         rule = verdict.rule.ljust(rule_width)
@@ -17,5 +17,5 @@
 
 
 def trouble_kinds(day: Script) -> str:
-    """Return the kinds of a day's troubles as a list to print."""
+    """Return the kinds of the troubles of the day, separated by commas."""
     return ", ".join(trouble.kind for trouble in day.troubles) or "none"
