--- a/mothnotch/node/call_context.py
+++ b/mothnotch/node/call_context.py
@@ -8,6 +8,13 @@
 
 
 def _counts():
+    """Return the counters, at zero, by the names under which the root logs them.
+
+    `frames`: call frames sent. `given_up`: attempts cancelled in flight. `late`: answers to
+    cancelled attempts. `held_back`: attempts and partly sent frames withheld. `over_most`: calls
+    rejected at the connection limit. `silent`: connections retired as unresponsive. `spoilt`:
+    connections closed after a protocol violation.
+    """
     return {
         "connects": 0,
         "connects_failed": 0,
--- a/mothnotch/node/frames.py
+++ b/mothnotch/node/frames.py
@@ -1,7 +1,8 @@
 """Encode and decode the frames between a root and its leaves, without I/O.
 
 A frame is its length in four bytes, little-endian, a one-letter type and a body. The length counts
-the type and the body.
+the type and the body. Roots send `m` (call), `n` (cancel) and `p` (health check); leaves send `q`
+(answer) and `o` or `p` (reply to a health check).
 """
 
 import re
@@ -15,7 +16,7 @@
 MAX_LINE_BYTES = 512
 LENGTH_PREFIX = struct.Struct("<I")
 ANSWER_STATUSES = ("good", "bad", "later")
-LEAF_FRAME_TYPES = b"opqr"  # frame types that a leaf may send
+LEAF_FRAME_TYPES = b"opqr"  # accepted by `FrameReader`; the root has no use for `r`
 WIRE_ID = re.compile(rb"[0-9A-Za-z._:-]{1,160}")
 INTEGER = re.compile(rb"-?[0-9]{1,20}")
 
