--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -88,7 +88,7 @@
                 self.record.windows[name] = kind.repeat_window_ms / 1000
         self.record.rules = c.settings().rules
         s = script.leaves
-        self.store, self.leaves = demo.leaves(
+        self.store, self.leaves = demo.create_leaves(
             network,
             self.record.seen.append,
             seed=seed,
@@ -365,7 +365,7 @@
             }
             return SEARCH, (ask.id,)
         if ask.kind == "hold-set":
-            bin = 7 if self.hot else r.randrange(demo.LAST_BIN)
+            bin = 7 if self.hot else r.randrange(demo.BIN_COUNT)
             ask.shards = (self.schema.shard_of(bin),)
             return HOLD, (bin, ask.id)
         first = 0 if self.hot else r.randrange(self.schema.shards - 3)
--- a/mothnotch/bench.py
+++ b/mothnotch/bench.py
@@ -22,17 +22,17 @@
 from mothnotch.root.endpoint_file import EndpointFile
 from mothnotch.standins.client import Client
 
-PART = "SELECT count(*) AS c0, sum(stock.qty) AS c1 FROM stock WHERE stock.bin >= $1 AND stock.bin < $2"
-WHOLE = "SELECT count(*), sum(qty) FROM stock WHERE bin < 800"
+PART_QUERY = "SELECT count(*) AS c0, sum(stock.qty) AS c1 FROM stock WHERE stock.bin >= $1 AND stock.bin < $2"
+FULL_QUERY = "SELECT count(*), sum(qty) FROM stock WHERE bin < 800"
 INT4 = 23
 
 
-def rank(times, share):
+def percentile_ms(times, share):
     times = sorted(times)
     return times[min(len(times) - 1, int(len(times) * share))] * 1000
 
 
-def cpu_of(pid):
+def process_cpu_s(pid):
     """CPU seconds that a process has used."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rsplit(")", 1)[1].split()
@@ -71,7 +71,7 @@
         low, high = shard * 100, shard * 100 + 100
         self.writer.write(
             wire.statement(
-                f"/*mothnotch range={shard}*/ {PART}",
+                f"/*mothnotch range={shard}*/ {PART_QUERY}",
                 (INT4, INT4),
                 (str(low).encode(), str(high).encode()),
             )
@@ -106,7 +106,7 @@
 # ---- (a) and (c): one connection a worker ----
 
 
-async def asked(address, statement, seconds, workers):
+async def measure_latencies(address, statement, seconds, workers):
     network, times = net.SocketNetwork(), []
 
     async def worker():
@@ -127,13 +127,14 @@
 
 async def one_part(c):
     await c.send(
-        wire.statement(f"/*mothnotch range=0*/ {PART}", (INT4, INT4), (b"0", b"100")) + wire.SYNC
+        wire.statement(f"/*mothnotch range=0*/ {PART_QUERY}", (INT4, INT4), (b"0", b"100"))
+        + wire.SYNC
     )
     assert (await c.reply()).error is None
 
 
 async def whole(c):
-    reply = await c.query(WHOLE)
+    reply = await c.query(FULL_QUERY)
     assert reply.error is None, reply.error
 
 
@@ -159,8 +160,8 @@
     )
     try:
         root = process.stdout.readline().split("postgresql://")[1].strip()
-        trio.run(asked, root, whole, 1.0, clients)  # warm: connections, plans, medians
-        trio.run(asked, addresses[0], one_part, 0.5, 1)
+        trio.run(measure_latencies, root, whole, 1.0, clients)  # warm: connections, plans, medians
+        trio.run(measure_latencies, addresses[0], one_part, 0.5, 1)
         print(
             f"8 parts a query, {len(addresses)} leaf processes, {seconds:g} s a figure, {os.cpu_count()} cores"
         )
@@ -170,7 +171,10 @@
             rows = (
                 (
                     "a straight to one leaf, 1 part",
-                    lambda w=workers: (trio.run(asked, addresses[0], one_part, seconds, w), None),
+                    lambda w=workers: (
+                        trio.run(measure_latencies, addresses[0], one_part, seconds, w),
+                        None,
+                    ),
                 ),
                 (
                     "b asyncio scatter/gather, 8 parts",
@@ -186,11 +190,11 @@
                 rate = len(times) / seconds
                 per_core = f"{len(times) / cpu:10.0f}" if cpu else f"{'':10}"
                 print(
-                    f"{name + f', {workers} at once':44}{rank(times, 0.5):9.2f}{rank(times, 0.99):9.2f}{rate:11.0f}"
+                    f"{name + f', {workers} at once':44}{percentile_ms(times, 0.5):9.2f}{percentile_ms(times, 0.99):9.2f}{rate:11.0f}"
                     f"{per_core}"
                 )
                 figures[name[0], workers] = (
-                    rank(times, 0.5),
+                    percentile_ms(times, 0.5),
                     rate,
                     len(times) / cpu if cpu else None,
                 )
@@ -208,9 +212,9 @@
 
 
 def through(root, process, seconds, workers):
-    before = cpu_of(process.pid)
-    times = trio.run(asked, root, whole, seconds, workers)
-    return times, cpu_of(process.pid) - before
+    before = process_cpu_s(process.pid)
+    times = trio.run(measure_latencies, root, whole, seconds, workers)
+    return times, process_cpu_s(process.pid) - before
 
 
 def shares(roster, seconds):
@@ -223,9 +227,9 @@
             root = await nursery.start(
                 Root(demo.config(), net.SocketNetwork(), logs.silent(), EndpointFile(roster)).run
             )
-            await asked(root.addresses[0], whole, 0.5, 2)
+            await measure_latencies(root.addresses[0], whole, 0.5, 2)
             profiler.enable()
-            await asked(root.addresses[0], whole, seconds, 8)
+            await measure_latencies(root.addresses[0], whole, seconds, 8)
             profiler.disable()
             nursery.cancel_scope.cancel()
 
--- a/mothnotch/cli/demo_commands.py
+++ b/mothnotch/cli/demo_commands.py
@@ -48,7 +48,7 @@
             nursery.start_soon(cancel_at_signal, nursery.cancel_scope)
             if parent:
                 nursery.start_soon(_cancel_after_parent, nursery.cancel_scope, parent)
-            _, leaf_list = demo_fleet.leaves(
+            _, leaf_list = demo_fleet.create_leaves(
                 net.SocketNetwork(),
                 lambda event: None,
                 seed=seed,
--- a/mothnotch/demo.py
+++ b/mothnotch/demo.py
@@ -11,14 +11,14 @@
 from mothnotch.standins.leaf import Leaf, LeafSettings
 from mothnotch.standins.store import Store
 
-CELLS, REACH, SHARDS, LAST_BIN = 8, 2, 24, 2400
+CELLS, REACH, SHARDS, BIN_COUNT = 8, 2, 24, 2400
 ZONES = ("lowell-main", "nashua-annex")
 CONFIG = {
     "listen": ["127.0.0.1:0"],
     "roster": "roster.json5",
     "cells": CELLS,
     "reach": REACH,
-    "ranges": {"from": 0, "to": LAST_BIN, "count": SHARDS},
+    "ranges": {"from": 0, "to": BIN_COUNT, "count": SHARDS},
     "tables": {
         "stock": {
             "shard_by": "bin",
@@ -77,7 +77,7 @@
     return found
 
 
-def leaves(
+def create_leaves(
     network, record, store=None, seed=1, rows=250, address="127.0.0.1:0", count=CELLS, **settings
 ):
     """(store, leaves) of the demo fleet. Range n is held by the leaves of cells n and n + 1; leaf n
--- a/mothnotch/studies/peercost.py
+++ b/mothnotch/studies/peercost.py
@@ -20,7 +20,7 @@
 
 from mothnotch import demo, net
 from mothnotch.badday.play import end_all
-from mothnotch.bench import WHOLE, asked, cpu_of, rank
+from mothnotch.bench import FULL_QUERY, measure_latencies, percentile_ms, process_cpu_s
 from mothnotch.cli import leaf_processes
 from mothnotch.peers import exchange
 from mothnotch.peers.codec import Codec
@@ -124,11 +124,11 @@
                 time.sleep(0.05)
             with roots(folder, roster, [peers_of(n, count) for n in range(count)]) as made:
                 together = trio.run(until, count, partial(knows, others=count - 1))
-                before, cpu = trio.run(views, count), [cpu_of(p.pid) for p, _ in made]
+                before, cpu = trio.run(views, count), [process_cpu_s(p.pid) for p, _ in made]
                 time.sleep(SPAN_S)
                 after, used = (
                     trio.run(views, count),
-                    [cpu_of(p.pid) - c for (p, _), c in zip(made, cpu, strict=True)],
+                    [process_cpu_s(p.pid) - c for (p, _), c in zip(made, cpu, strict=True)],
                 )
                 sent = [
                     (after[n].counts["bytes"] - before[n].counts["bytes"]) / SPAN_S
@@ -148,7 +148,7 @@
     """The benchmark's query, again while it is refused: one process plays all leaves here, and may
     be behind.
     """
-    while (await c.query(WHOLE)).error is not None:
+    while (await c.query(FULL_QUERY)).error is not None:
         await trio.sleep(0.001)
 
 
@@ -162,15 +162,17 @@
         with roots(folder, roster, [None, *(peers_of(n, 4) for n in range(4))]) as made:
             ratios = {"queries/s": [], "p50": [], "p99": []}
             for _, at in made[:2]:
-                trio.run(asked, at, until_answered, 1.0, clients)
+                trio.run(measure_latencies, at, until_answered, 1.0, clients)
             for turn in range(rounds):
                 figures = {}
                 for which in ((0, 1), (1, 0))[turn % 2]:
-                    times = trio.run(asked, made[which][1], until_answered, seconds, clients)
+                    times = trio.run(
+                        measure_latencies, made[which][1], until_answered, seconds, clients
+                    )
                     figures[which] = {
                         "queries/s": len(times) / seconds,
-                        "p50": rank(times, 0.5),
-                        "p99": rank(times, 0.99),
+                        "p50": percentile_ms(times, 0.5),
+                        "p99": percentile_ms(times, 0.99),
                     }
                 for name in ratios:
                     ratios[name].append(figures[1][name] / figures[0][name])
--- a/tests/support/postgres_cluster.py
+++ b/tests/support/postgres_cluster.py
@@ -54,7 +54,7 @@
         network = net.SocketNetwork()
         async with trio.open_nursery() as nursery:
             state.scope = nursery.cancel_scope
-            state.store, leaves = demo.leaves(
+            state.store, leaves = demo.create_leaves(
                 network, state.seen.append, work_ms=options.pop("work_ms", 0.3), **options
             )
             state.fleet = Fleet(leaves, nursery)
--- a/tests/support/virtual_clock.py
+++ b/tests/support/virtual_clock.py
@@ -42,7 +42,7 @@
     async def main():
         async with trio.open_nursery() as nursery:
             world.nursery = nursery
-            world.store, leaves = demo.leaves(
+            world.store, leaves = demo.create_leaves(
                 world.network, world.seen.append, **{"rows": 10, **options}
             )
             world.fleet = Fleet(leaves, nursery)
--- a/tests/test_consul.py
+++ b/tests/test_consul.py
@@ -96,7 +96,9 @@
     async def main():
         async with trio.open_nursery() as nursery:
             world.nursery = nursery
-            world.store, leaves = demo.leaves(world.network, world.leaf_events.append, rows=5)
+            world.store, leaves = demo.create_leaves(
+                world.network, world.leaf_events.append, rows=5
+            )
             world.fleet = Fleet(leaves, nursery)
             await world.fleet.start()
             nursery.start_soon(world.catalogue.run)
