--- a/mothnotch/soak/agent.py
+++ b/mothnotch/soak/agent.py
@@ -1,10 +1,15 @@
-"""Discovery as a process: two agents for each root, the second for new configurations.
+"""A simulated discovery service as a process: two agents for each root, so that a reloaded
+configuration can name the other one.
 
-Commands: {"do": "tell", "targets": [...]}: changes, known to every agent at once; {"do": "silence",
-"root": n or null, "s": seconds}: open watches say nothing more, new ones are served again after
-that; {"do": "drop"}: watches are reset; {"do": "down", "s": seconds}: as silent, and new ones are
-not answered either; {"do": "whole"}: whole lists, that leave out what drains. Which change was
-written to which root is recorded.
+Commands arrive as JSON lines on standard input:
+
+- {"do": "tell", "targets": [...]}: publish changed targets through every agent.
+- {"do": "silence", "root": n or null}: send nothing more on the open watches of one root, or of
+  all; watches opened later are served.
+- {"do": "drop"}: reset the open watches.
+- {"do": "down", "s": seconds}: neither answer new watches nor send anything for that long.
+
+It records which change was sent to which root.
 """
 
 import itertools
@@ -13,27 +18,27 @@
 
 import trio
 
-from mothnotch.soak.leaf import lines, reset
-from mothnotch.soak.records import Record, now
+from mothnotch.soak.leaf import read_stdin_lines, reset_connection
+from mothnotch.soak.records import EventLog, now
 
-BEAT_S = 2.0
+HEARTBEAT_INTERVAL_S = 2.0
 
 
 class Watch:
-    """One open watch."""
+    """An open watch of one root."""
 
     def __init__(self, root, stream):
         self.root, self.stream, self.silent, self.changed = root, stream, False, trio.Event()
 
 
-class Discovery:
-    """The process."""
+class DiscoveryProcess:
+    """The process of the discovery service."""
 
     def __init__(self, options):
-        self.record = Record(options["folder"], "discovery")
+        self.event_log = EventLog(options["folder"], "discovery")
         self.targets, self.rev = {target["uid"]: target for target in options["targets"]}, 40
-        self.ports, self.watches, self.history = options["ports"], set(), []
-        self.down_until, self.numbers = 0.0, itertools.count()
+        self.ports, self.watches, self.changes = options["ports"], set(), []
+        self.unavailable_until, self.numbers = 0.0, itertools.count()
 
     async def run(self):
         async with trio.open_nursery() as nursery:
@@ -42,41 +47,41 @@
                     listeners = await trio.open_tcp_listeners(port, host="127.0.0.1")
                     nursery.start_soon(
                         trio.serve_listeners,
-                        lambda s, root=root: self.connection(root, s),
+                        lambda stream, root=root: self.serve_watch(root, stream),
                         listeners,
                     )
-            self.record.note("listening")
-            async for line in lines():
-                await self.follow(json.loads(line))
+            self.event_log.write("listening")
+            async for line in read_stdin_lines():
+                await self.apply_command(json.loads(line))
             nursery.cancel_scope.cancel()
 
-    async def follow(self, word):
-        self.record.note(
-            "told to", **{name: value for name, value in word.items() if name != "targets"}
+    async def apply_command(self, command):
+        self.event_log.write(
+            "told to", **{name: value for name, value in command.items() if name != "targets"}
         )
-        if word["do"] == "tell":
+        if command["do"] == "tell":
             self.rev += 1
-            self.history.append((self.rev, word["targets"]))
-            for target in word["targets"]:
+            self.changes.append((self.rev, command["targets"]))
+            for target in command["targets"]:
                 self.targets[target["uid"]] = target
-                self.record.note(
+                self.event_log.write(
                     "change",
                     rev=self.rev,
                     leaf=target["uid"],
                     state=target["state"],
                     boot_ms=target["boot_ms"],
                 )
-        elif word["do"] == "down":
-            self.down_until = now() + word["s"]
+        elif command["do"] == "down":
+            self.unavailable_until = now() + command["s"]
         for watch in list(self.watches):
-            if word["do"] == "drop":
-                await reset(watch.stream)
-            elif word["do"] == "silence" and word["root"] in (None, watch.root):
+            if command["do"] == "drop":
+                await reset_connection(watch.stream)
+            elif command["do"] == "silence" and command["root"] in (None, watch.root):
                 watch.silent = True
-                self.record.note("silent", root=watch.root)
+                self.event_log.write("silent", root=watch.root)
             watch.changed.set()
 
-    async def connection(self, root, stream):
+    async def serve_watch(self, root, stream):
         watch = Watch(root, stream)
         try:
             head = b""
@@ -85,54 +90,54 @@
                 if not data:
                     return
                 head += data
-            while now() < self.down_until:
+            while now() < self.unavailable_until:
                 await trio.sleep(0.05)
             target = head.split(b" ")[1].decode()
             await stream.send_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             self.watches.add(watch)
-            asked = int(target.partition("index=")[2] or 0)
-            if asked and asked >= self.rev - len(self.history):
-                at = asked
+            requested_rev = int(target.partition("index=")[2] or 0)
+            if requested_rev and requested_rev >= self.rev - len(self.changes):
+                sent_rev = requested_rev
             else:
-                at = await self.say(
+                sent_rev = await self.send_update(
                     watch,
                     self.rev,
                     [t for t in self.targets.values() if t["state"] == "Ready"],
                     True,
                 )
             while True:
-                for rev, targets in self.history:
-                    if rev > at:
-                        at = await self.say(watch, rev, targets, False)
+                for rev, targets in self.changes:
+                    if rev > sent_rev:
+                        sent_rev = await self.send_update(watch, rev, targets, False)
                 watch.changed = trio.Event()
-                with trio.move_on_after(BEAT_S):
+                with trio.move_on_after(HEARTBEAT_INTERVAL_S):
                     await watch.changed.wait()
-                while watch.silent or now() < self.down_until:
+                while watch.silent or now() < self.unavailable_until:
                     await trio.sleep(0.05)
-                await self.write(stream, b"\n")
+                await self.send_chunk(stream, b"\n")
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             self.watches.discard(watch)
             await trio.aclose_forcefully(stream)
 
-    async def say(self, watch, rev, targets, whole):
-        await self.write(
+    async def send_update(self, watch, rev, targets, full_list):
+        await self.send_chunk(
             watch.stream,
-            json.dumps({"rev": rev, "all": whole, "targets": targets}).encode() + b"\n",
+            json.dumps({"rev": rev, "all": full_list, "targets": targets}).encode() + b"\n",
         )
-        self.record.note(
+        self.event_log.write(
             "told",
             root=watch.root,
             rev=rev,
-            whole=whole,
+            whole=full_list,
             states={t["uid"]: t["state"] for t in targets},
         )
         return rev
 
-    async def write(self, stream, data):
+    async def send_chunk(self, stream, data):
         await stream.send_all(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
 
 if __name__ == "__main__":
-    trio.run(Discovery(json.loads(sys.argv[1])).run)
+    trio.run(DiscoveryProcess(json.loads(sys.argv[1])).run)
--- a/mothnotch/soak/history.py
+++ b/mothnotch/soak/history.py
@@ -1,7 +1,7 @@
-"""What the processes of one soak recorded, indexed for the rules that are asked of it. Pure.
+"""The history of a soak: the recorded events of all processes, indexed for the checks. No I/O.
 
-Times are of the one monotonic clock. A record may have been made later than what it tells; where
-the process says by how much, the event counts at its own time.
+All times are of one monotonic clock. An event may be recorded after it happened; if the process
+states the delay, the history uses the time of the event itself.
 """
 
 import math
@@ -9,36 +9,36 @@
 
 from mothnotch.soak.settings import Deployment
 
-CLOCK_SLACK_S = 0.06  # between an event and its record, on a busy machine
-BACKLOG_S = 0.4  # new connections come for so long after SIGTERM
+CLOCK_SLACK_S = 0.06  # from an event to its record on a busy machine
+BACKLOG_S = 0.4  # a root accepts new connections for this long after SIGTERM
 
 
 class History:
     """Indexes of the events of one soak."""
 
     def __init__(self, events: list[dict], deployment: Deployment):
-        """Index events of any order; `deployment`: the one that was played."""
-        self.events = sorted(map(_at_its_own_time, events), key=lambda event: event["t"])
+        """Index the events, given in any order; `deployment` is the one that ran."""
+        self.events = sorted(map(_with_event_time, events), key=lambda event: event["t"])
         self.deployment, self.by_kind = deployment, defaultdict(list)
         for event in self.events:
             self.by_kind[event["kind"]].append(event)
         self.requests = {event["rid"]: event for event in self.by_kind["request"]}
         self.outcomes = {event["rid"]: event for event in self.by_kind["outcome"]}
-        self.left = {event["rid"]: event["t"] for event in self.by_kind["left"]}
-        self.rid_of = {
+        self.left_at = {event["rid"]: event["t"] for event in self.by_kind["left"]}
+        self.rid_by_query = {
             (e["root"], e["life"], e["query"]): e["request"] for e in self.by_kind["root request"]
         }
-        self.taken = set(self.rid_of.values())
+        self.accepted_rids = set(self.rid_by_query.values())
 
-    def held(self, root, begin, end):
-        """Seconds within a span for which a root was stopped by a signal."""
+    def suspended_s(self, root, begin, end):
+        """Return for how many seconds of a span a root was suspended by SIGSTOP."""
         spans = [(e["t"], e["t"] + e["s"]) for e in self.by_kind["held"] if e["root"] == root]
         return sum(max(0.0, min(end, b) - max(begin, a)) for a, b in spans)
 
     def was_killed(self, root, connected, end):
-        """Whether the life of a root to which a connection was made was killed before an end.
+        """Return whether the root process that a client connected to was killed before `end`.
 
-        That life is the first to be gone after the connection was asked for.
+        That process is the first one of the root to end after the client began to connect.
         """
         for gone in self.by_kind["gone"]:
             if gone["root"] == root and gone["t"] >= connected:
@@ -46,46 +46,55 @@
         return False
 
     def was_read(self, rid):
-        """Whether a root has read a request to its end, though it may not have taken it."""
-        if rid in self.taken:
+        """Return whether a root has read a whole request, even if it did not accept it."""
+        if rid in self.accepted_rids:
             return True
         request = self.requests[rid]
-        on_it = [
+        on_connection = [
             other
             for other in self.by_kind["request"]
             if other.get("connection") == request.get("connection") is not None
         ]
-        taken = [other for other in on_it if other["rid"] in self.taken]
-        if not taken:
+        accepted = [other for other in on_connection if other["rid"] in self.accepted_rids]
+        if not accepted:
             return False
-        behind = on_it[on_it.index(taken[-1]) + 1 : on_it.index(request) + 1]
-        return self._left_unread(taken[-1]["rid"]) >= sum(other["size"] for other in behind)
+        following = on_connection[
+            on_connection.index(accepted[-1]) + 1 : on_connection.index(request) + 1
+        ]
+        return self._bytes_read_ahead(accepted[-1]["rid"]) >= sum(
+            other["size"] for other in following
+        )
 
-    def _left_unread(self, rid):
-        """Bytes that a root had read behind a request when it closed that connection."""
-        took = next(e for e in self.by_kind["root request"] if e["request"] == rid)
+    def _bytes_read_ahead(self, rid):
+        """Return how many bytes after a request a root had read when it closed the connection."""
+        accepted = next(e for e in self.by_kind["root request"] if e["request"] == rid)
         for closed in self.by_kind["root client connection closed"]:
-            same = all(closed[name] == took[name] for name in ("root", "life", "client"))
-            if same and closed["t"] >= took["t"]:
+            same_connection = all(
+                closed[name] == accepted[name] for name in ("root", "life", "client")
+            )
+            if same_connection and closed["t"] >= accepted["t"]:
                 return closed["ahead_bytes"]
         return 0
 
     def was_closed_before(self, earlier, later):
-        """Whether the root closed the connection of one attempt before it sent another.
+        """Return whether the root closed the connection of one attempt before it sent another.
 
-        Both are parts as their leaves saw them. To close is to give up, by the protocol.
+        Both attempts are given as the leaves' records of the part. By the protocol, closing the
+        connection cancels the attempt.
         """
-        first, second = self._send_of(earlier), self._send_of(later)
-        if first is None or second is None:
+        earlier_send, later_send = self._find_send(earlier), self._find_send(later)
+        if earlier_send is None or later_send is None:
             return False
         for closed in self.by_kind["root leaf connection closed"]:
-            same = all(closed[name] == first[name] for name in ("root", "life", "link"))
-            if same and closed["t"] >= first["t"]:
-                return closed["t"] <= second["t"]
+            same_connection = all(
+                closed[name] == earlier_send[name] for name in ("root", "life", "link")
+            )
+            if same_connection and closed["t"] >= earlier_send["t"]:
+                return closed["t"] <= later_send["t"]
         return False
 
-    def _send_of(self, part):
-        """The root's record of the send that a leaf saw as this part; None if there is none."""
+    def _find_send(self, part):
+        """Return the root's record of the send that a leaf recorded as this part, or None."""
         sends = [
             event
             for event in self.by_kind["root sent"]
@@ -95,55 +104,55 @@
         ]
         return sends[-1] if sends else None
 
-    def late_for_a_hold(self, event):
-        """Whether a root's own word of a late answer is explained by a hold-up by a signal."""
+    def late_because_suspended(self, event):
+        """Return whether SIGSTOP explains a late answer that the root itself reports in its log."""
         line = event["line"]
-        rid = self.rid_of.get((event["root"], event.get("life"), line.get("query")))
+        rid = self.rid_by_query.get((event["root"], event.get("life"), line.get("query")))
         if line.get("rule") != "FINAL_LATE" or rid is None:
             return False
         begin = self.requests[rid]["t"]
         end = self.outcomes[rid]["t"] if rid in self.outcomes else math.inf
-        return line["late_s"] <= self.held(event["root"], begin, end) + CLOCK_SLACK_S
+        return line["late_s"] <= self.suspended_s(event["root"], begin, end) + CLOCK_SLACK_S
 
-    def stopping(self, root, at):
-        """Whether a root had been told to stop so long ago that new connections need not come up,
-        and no other runs yet.
+    def is_stopping(self, root, at):
+        """Return whether a root is stopping and no longer has to accept new connections, and its
+        successor does not serve yet.
         """
-        words = [
+        state_events = [
             e
             for e in self.by_kind["stopping"] + self.by_kind["serving"]
             if e["root"] == root and e["t"] <= at
         ]
-        last = max(words, key=lambda e: e["t"], default=None)
+        last = max(state_events, key=lambda e: e["t"], default=None)
         return last is not None and last["kind"] == "stopping" and at - last["t"] > BACKLOG_S
 
-    def state(self, leaf, at):
-        """What discovery held of a leaf."""
+    def discovery_state(self, leaf, at):
+        """Return the state of a leaf in discovery at a time."""
         changes = [e for e in self.by_kind["change"] if e["leaf"] == leaf and e["t"] <= at]
         return changes[-1]["state"] if changes else "Ready"
 
-    def starting(self, root, at):
-        """Whether a root had been started and not yet said that it is ready: the front admits it
-        only then.
+    def is_starting(self, root, at):
+        """Return whether a root has started but is not ready yet. The load balancer in front of it
+        sends it no requests until then.
         """
-        words = [
+        state_events = [
             e
             for e in self.by_kind["root started"] + self.by_kind["serving"]
             if e["root"] == root and e["t"] <= at
         ]
-        last = max(words, key=lambda e: e["t"], default=None)
+        last = max(state_events, key=lambda e: e["t"], default=None)
         return last is not None and last["kind"] == "root started"
 
-    def troubled(self, leaf, begin, end):
-        """Whether the way to a leaf, or the leaf, held up what it was told within a span."""
+    def had_leaf_fault(self, leaf, begin, end):
+        """Return whether a fault at a leaf or on its route may delay messages within a span."""
         for event in self.by_kind["leaf trouble"]:
             if event["leaf"] == leaf and event["t"] <= end and event["t"] + event["s"] >= begin:
                 return True
         return False
 
 
-def _at_its_own_time(event):
-    """The event at its own time, where it was noted later."""
+def _with_event_time(event):
+    """Return the event with the time at which it happened, if it was recorded later."""
     if "noted_after_s" not in event:
         return event
     return {**event, "t": event["t"] - event["noted_after_s"]}
--- a/mothnotch/soak/plan.py
+++ b/mothnotch/soak/plan.py
@@ -1,42 +1,42 @@
-"""Which faults a soak plays and when: drawn by seed, so that two or three overlap at most times.
-Pure.
+"""The fault schedule of a soak, drawn by seed; most of the time, two or three faults overlap. No
+I/O.
 """
 
 from dataclasses import dataclass, field
 
 CALLS = ("accept", "socket", "connect", "setsockopt", "send", "recv", "stderr")
-STEPS_S = (-3600.0, -9.0, -3.0, -0.4, 0.4, 3.0, 9.0, 3600.0)
-QUIET_S = 1.5  # at the beginning
-LAST_S = 3.0  # at the end: no fault begins
+WALL_CLOCK_STEPS_S = (-3600.0, -9.0, -3.0, -0.4, 0.4, 3.0, 9.0, 3600.0)
+WARM_UP_S = 1.5  # no fault begins in this time after the start
+COOL_DOWN_S = 3.0  # no fault begins in this time before the end
 
 
 @dataclass(frozen=True)
 class Fault:
-    """One fault: what, when, at whom (a root's number or a leaf's), and its figures."""
+    """One scheduled fault; `target` is the number of a root or of a leaf."""
 
     at_s: float
-    what: str
-    whom: int = 0
-    figures: dict = field(default_factory=dict)
+    kind: str
+    target: int = 0
+    parameters: dict = field(default_factory=dict)
 
 
-def draw(random, deployment, length_s, count):
-    """So many faults over the length, in order of time."""
-    makers = (
+def draw_faults(random, deployment, length_s, count):
+    """Return `count` faults within the length of a soak, ordered by time."""
+    fault_generators = (
         stop_root,
         kill_root,
-        hold_root,
+        suspend_root,
         reload_root,
         reload_root_twice,
         signal_root,
-        step_wall,
+        step_wall_clock,
         fail_calls,
         short_io,
         hang_leaf,
         restart_leaf,
         drain_leaf,
         drain_leaf,
-        leaf_mood,
+        inject_leaf_errors,
         close_idle,
         reset_leaf,
         stall_route,
@@ -47,121 +47,127 @@
         drop_watches,
         discovery_down,
     )
-    found = []
+    faults = []
     for _ in range(count):
-        at_s = random.uniform(QUIET_S, length_s - LAST_S)
-        found.append(random.choice(makers)(random, deployment, at_s))
-    return sorted(found, key=lambda fault: fault.at_s)
+        at_s = random.uniform(WARM_UP_S, length_s - COOL_DOWN_S)
+        faults.append(random.choice(fault_generators)(random, deployment, at_s))
+    return sorted(faults, key=lambda fault: fault.at_s)
 
 
-def root_of(random, deployment):
+def draw_root(random, deployment):
     return random.randrange(deployment.roots)
 
 
-def leaf_of(random, deployment):
+def draw_leaf(random, deployment):
     return random.randrange(deployment.leaves)
 
 
 def stop_root(random, deployment, at_s):
-    return Fault(at_s, "stop root", root_of(random, deployment))
+    return Fault(at_s, "stop root", draw_root(random, deployment))
 
 
 def kill_root(random, deployment, at_s):
-    return Fault(at_s, "kill root", root_of(random, deployment))
+    return Fault(at_s, "kill root", draw_root(random, deployment))
 
 
-def hold_root(random, deployment, at_s):
+def suspend_root(random, deployment, at_s):
     return Fault(
         at_s,
         "hold root",
-        root_of(random, deployment),
+        draw_root(random, deployment),
         {"s": random.choice((0.05, 0.12, 0.15, 0.6))},
     )
 
 
 def reload_root(random, deployment, at_s):
-    return Fault(at_s, "reload root", root_of(random, deployment), {"half": random.random() < 0.3})
+    return Fault(
+        at_s, "reload root", draw_root(random, deployment), {"half": random.random() < 0.3}
+    )
 
 
 def reload_root_twice(random, deployment, at_s):
     return Fault(
         at_s,
         "reload root",
-        root_of(random, deployment),
+        draw_root(random, deployment),
         {"half": False, "again_after_s": random.uniform(0, 0.3)},
     )
 
 
-# Signals in series, by name: SIGTERM within a reload, twice, and before a reload; many reloads.
-SERIES = (
+# Series of signals, by name: repeated reloads, SIGTERM during a reload, SIGTERM twice, SIGTERM
+# before a reload, and reloads around two SIGTERMs.
+SIGNAL_SERIES = (
     ("HUP", "HUP", "HUP", "HUP"),
     ("HUP", "TERM"),
     ("TERM", "TERM"),
     ("TERM", "HUP"),
     ("HUP", "TERM", "HUP", "TERM"),
 )
-SERIES_GAP_S = 0.1  # at most, between two signals
+SIGNAL_GAP_MAX_S = 0.1  # longest gap between two signals
 
 
 def signal_root(random, deployment, at_s):
     return Fault(
         at_s,
         "signal root",
-        root_of(random, deployment),
+        draw_root(random, deployment),
         {
-            "series": random.choice(SERIES),
-            "gap_s": random.choice((0.0, random.uniform(0, SERIES_GAP_S))),
+            "series": random.choice(SIGNAL_SERIES),
+            "gap_s": random.choice((0.0, random.uniform(0, SIGNAL_GAP_MAX_S))),
             "at_start": random.random() < 0.3,
         },
     )
 
 
-def step_wall(random, deployment, at_s):
+def step_wall_clock(random, deployment, at_s):
     return Fault(
         at_s,
         "step wall",
-        root_of(random, deployment),
-        {"s": random.choice(STEPS_S), "stamps": random.random() < 0.7},
+        draw_root(random, deployment),
+        {"s": random.choice(WALL_CLOCK_STEPS_S), "stamps": random.random() < 0.7},
     )
 
 
 def fail_calls(random, deployment, at_s):
     call = random.choice(CALLS)
-    # With no send or read at all for a second nobody could be answered in time.
+    # If every send or read failed for up to a second, no request could be answered in time.
     share = random.choice((0.05, 0.3) if call in ("send", "recv") else (0.05, 0.3, 1.0))
     return Fault(
         at_s,
         "fail calls",
-        root_of(random, deployment),
+        draw_root(random, deployment),
         {"call": call, "share": share, "s": random.uniform(0.1, 1.0)},
     )
 
 
 def short_io(random, deployment, at_s):
     return Fault(
-        at_s, "short io", root_of(random, deployment), {"share": 0.2, "s": random.uniform(0.3, 1.5)}
+        at_s,
+        "short io",
+        draw_root(random, deployment),
+        {"share": 0.2, "s": random.uniform(0.3, 1.5)},
     )
 
 
 def hang_leaf(random, deployment, at_s):
-    return Fault(at_s, "hang leaf", leaf_of(random, deployment), {"s": random.uniform(0.2, 2.5)})
+    return Fault(at_s, "hang leaf", draw_leaf(random, deployment), {"s": random.uniform(0.2, 2.5)})
 
 
 def restart_leaf(random, deployment, at_s):
     return Fault(
-        at_s, "restart leaf", leaf_of(random, deployment), {"down_s": random.uniform(0.1, 1.0)}
+        at_s, "restart leaf", draw_leaf(random, deployment), {"down_s": random.uniform(0.1, 1.0)}
     )
 
 
 def drain_leaf(random, deployment, at_s):
-    return Fault(at_s, "drain leaf", leaf_of(random, deployment), {"s": random.uniform(0.5, 2.5)})
+    return Fault(at_s, "drain leaf", draw_leaf(random, deployment), {"s": random.uniform(0.5, 2.5)})
 
 
-def leaf_mood(random, deployment, at_s):
+def inject_leaf_errors(random, deployment, at_s):
     return Fault(
         at_s,
         "leaf mood",
-        leaf_of(random, deployment),
+        draw_leaf(random, deployment),
         {
             "share": random.choice((0.2, 0.7)),
             "s": random.uniform(0.5, 2.0),
@@ -173,31 +179,35 @@
 
 
 def close_idle(random, deployment, at_s):
-    return Fault(at_s, "close idle", leaf_of(random, deployment))
+    return Fault(at_s, "close idle", draw_leaf(random, deployment))
 
 
 def reset_leaf(random, deployment, at_s):
-    return Fault(at_s, "reset leaf", leaf_of(random, deployment))
+    return Fault(at_s, "reset leaf", draw_leaf(random, deployment))
 
 
 def stall_route(random, deployment, at_s):
-    return Fault(at_s, "stall route", leaf_of(random, deployment), {"s": random.uniform(0.1, 1.5)})
+    return Fault(
+        at_s, "stall route", draw_leaf(random, deployment), {"s": random.uniform(0.1, 1.5)}
+    )
 
 
 def silence_route(random, deployment, at_s):
-    return Fault(at_s, "silence route", leaf_of(random, deployment))
+    return Fault(at_s, "silence route", draw_leaf(random, deployment))
 
 
 def cut_route(random, deployment, at_s):
-    return Fault(at_s, "cut route", leaf_of(random, deployment))
+    return Fault(at_s, "cut route", draw_leaf(random, deployment))
 
 
 def refuse_route(random, deployment, at_s):
-    return Fault(at_s, "refuse route", leaf_of(random, deployment), {"s": random.uniform(0.2, 1.5)})
+    return Fault(
+        at_s, "refuse route", draw_leaf(random, deployment), {"s": random.uniform(0.2, 1.5)}
+    )
 
 
 def silence_watch(random, deployment, at_s):
-    return Fault(at_s, "silence watch", random.choice((None, root_of(random, deployment))))
+    return Fault(at_s, "silence watch", random.choice((None, draw_root(random, deployment))))
 
 
 def drop_watches(random, deployment, at_s):
@@ -205,4 +215,4 @@
 
 
 def discovery_down(random, deployment, at_s):
-    return Fault(at_s, "discovery down", figures={"s": random.uniform(0.5, 2.5)})
+    return Fault(at_s, "discovery down", parameters={"s": random.uniform(0.5, 2.5)})
--- a/mothnotch/soak/processes.py
+++ b/mothnotch/soak/processes.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: its helpers, and the lives of its roots."""
+"""The processes that a soak starts: helpers and roots."""
 
 import contextlib
 import json
@@ -14,25 +14,25 @@
 
 HOST = "127.0.0.1"
 REPOSITORY = pathlib.Path(__file__).resolve().parent.parent.parent
-OWN_DESCRIPTORS = 4  # those of the trace and of what else the soak adds to a root
+HARNESS_DESCRIPTORS = 4  # file descriptors that the trace and the fault injection add to a root
 
 
-def ports(count: int) -> list[int]:
-    """Return so many free ports of loopback."""
-    held = [socket.socket() for _ in range(count)]
-    for sock in held:
+def free_ports(count: int) -> list[int]:
+    """Return `count` free loopback ports."""
+    sockets = [socket.socket() for _ in range(count)]
+    for sock in sockets:
         sock.bind((HOST, 0))
-    found = [sock.getsockname()[1] for sock in held]
-    for sock in held:
+    numbers = [sock.getsockname()[1] for sock in sockets]
+    for sock in sockets:
         sock.close()
-    return found
+    return numbers
 
 
 class Helper:
-    """A process of the soak's own, which takes commands."""
+    """A process of the soak that takes commands as JSON lines on standard input."""
 
     def __init__(self, module: str, options: dict, log):
-        """Start that module of the soak with these options; `log`: an open file."""
+        """Start a module of this package; `log` is an open file for its standard error."""
         self.process = subprocess.Popen(
             [sys.executable, "-m", f"mothnotch.soak.{module}", json.dumps(options)],
             cwd=REPOSITORY,
@@ -40,39 +40,39 @@
             stderr=log,
         )
 
-    def tell(self, **word):
-        """Give it a command, if it still runs."""
+    def send_command(self, **command):
+        """Send the process a command, if it still runs."""
         with contextlib.suppress(OSError):
-            self.process.stdin.write((json.dumps(word) + "\n").encode())
+            self.process.stdin.write((json.dumps(command) + "\n").encode())
             self.process.stdin.flush()
 
-    def end(self):
-        """Have it end by itself."""
+    def close_stdin(self):
+        """Close its standard input, so that the process ends."""
         with contextlib.suppress(OSError):
             self.process.stdin.close()
 
     def kill(self):
-        """End it at once."""
+        """Kill the process and wait for its end."""
         self.process.kill()
         self.process.wait()
 
 
-class RootLife:
-    """One life of a root: a process, its trace and its log."""
+class RootProcess:
+    """One process of a root, with its trace and its log; a restart makes a new one."""
 
-    def __init__(self, soak, number: int, life: int):
-        """Start a root of the soak; `life`: how many it had before."""
-        self.soak, self.number, self.life, self.killed = soak, number, life, False
+    def __init__(self, soak, number: int, incarnation: int):
+        """Start root `number` of the soak; `incarnation` counts its earlier processes."""
+        self.soak, self.number, self.incarnation, self.killed = soak, number, incarnation, False
         folder = soak.folder
         self.trace, self.log = (
-            folder / f"root{number}.{life}.trace",
-            folder / f"root{number}.{life}.log",
+            folder / f"root{number}.{incarnation}.trace",
+            folder / f"root{number}.{incarnation}.log",
         )
         env = {
             **os.environ,
             "BALANCER_CONFIG": str(soak.config_path(number)),
             "PYTHONPATH": str(folder / "shim"),
-            shim.VARIABLE: str(soak.control_path(number)),
+            shim.CONTROL_VARIABLE: str(soak.control_path(number)),
             "MOTHNOTCH_TRACE": str(self.trace),
             "PYTHONDONTWRITEBYTECODE": "1",
         }
@@ -80,11 +80,11 @@
             self.process = subprocess.Popen(
                 [sys.executable, "-m", "mothnotch.node"], cwd=REPOSITORY, env=env, stderr=log
             )
-        limit = soak.deployment.sockets + OWN_DESCRIPTORS
+        limit = soak.deployment.sockets + HARNESS_DESCRIPTORS
         resource.prlimit(self.process.pid, resource.RLIMIT_NOFILE, (limit, limit))
 
     def catches_signals(self) -> bool:
-        """Return whether the program has begun and takes SIGHUP and SIGTERM itself."""
+        """Return whether the program has installed its handlers of SIGHUP and SIGTERM."""
         try:
             status = pathlib.Path(f"/proc/{self.process.pid}/status").read_text()
         except OSError:
@@ -92,8 +92,8 @@
         caught = int(status.partition("SigCgt:")[2].split()[0], 16)
         return all(caught >> (number - 1) & 1 for number in (signal.SIGHUP, signal.SIGTERM))
 
-    def events(self):
-        """Yield what it recorded, as events of the soak."""
+    def read_events(self):
+        """Yield the records of its trace and the lines of its log, as events of the soak."""
         if self.trace.exists():
             for line in self.trace.read_bytes().split(b"\n")[:-1]:
                 event = json.loads(line)
@@ -101,23 +101,25 @@
                     **event,
                     "kind": f"root {event['kind']}",
                     "root": self.number,
-                    "life": self.life,
+                    "life": self.incarnation,
                     "who": "root",
                 }
         for line in self.log.read_text(errors="replace").splitlines():
             try:
-                found = json.loads(line)
+                log_line = json.loads(line)
             except ValueError:
-                found = {"event": "unexpected error", "text": line}
+                log_line = {"event": "unexpected error", "text": line}
             yield {
                 "t": 0.0,
                 "kind": "root log",
                 "root": self.number,
-                "life": self.life,
+                "life": self.incarnation,
                 "who": "root",
-                "line": found,
+                "line": log_line,
             }
 
-    def note_gone(self, killed_at: float | None = None):
-        """Record that it has ended; `killed_at`: when the soak killed it, if that was planned."""
-        self.soak.record.note("gone", root=self.number, life=self.life, killed_at=killed_at)
+    def record_end(self, killed_at: float | None = None):
+        """Record that the process has ended; `killed_at` is the time of a planned kill, if any."""
+        self.soak.event_log.write(
+            "gone", root=self.number, life=self.incarnation, killed_at=killed_at
+        )
--- a/mothnotch/soak/proxy.py
+++ b/mothnotch/soak/proxy.py
@@ -1,7 +1,13 @@
-"""A proxy between roots and leaves as a process: each leaf is reached by a port of the proxy's, and
-its connections can be held up, silenced for good, reset in the middle, or cut short.
+"""A TCP proxy process between roots and leaves, with one listening port per leaf.
 
-Commands: {"do": "stall" | "silence" | "reset" | "cut" | "refuse", "leaf": name, "s": seconds}.
+Commands arrive as JSON lines on standard input: {"do": action, "leaf": name, "s": seconds}, where
+the action is one of:
+
+- "stall": forward nothing for that long.
+- "silence": forward nothing more on the open connections.
+- "reset": reset the open connections.
+- "cut": reset each open connection after a few more bytes from the leaf.
+- "refuse": reset new connections for that long.
 """
 
 import json
@@ -10,36 +16,36 @@
 
 import trio
 
-from mothnotch.soak.leaf import lines, reset
-from mothnotch.soak.records import Record, now
+from mothnotch.soak.leaf import read_stdin_lines, reset_connection
+from mothnotch.soak.records import EventLog, now
 
 
 class Route:
-    """The way to one leaf."""
+    """The route to one leaf, and the faults in force on it."""
 
     def __init__(self, name, target):
         self.name, self.target = name, target
-        self.stalled_until, self.refused_until, self.pairs = 0.0, 0.0, set()
+        self.stalled_until, self.refused_until, self.connections = 0.0, 0.0, set()
 
 
-class Pair:
-    """A root's connection and the one to the leaf that carries it on."""
+class ProxiedConnection:
+    """A connection from a root and the matching connection to the leaf."""
 
-    def __init__(self, near, far):
-        self.near, self.far, self.silent, self.left = (
-            near,
-            far,
+    def __init__(self, downstream, upstream):
+        self.downstream, self.upstream, self.silenced, self.bytes_until_cut = (
+            downstream,
+            upstream,
             False,
             None,
-        )  # left: bytes until it is cut
+        )
 
 
-class Proxy:
-    """The process."""
+class ProxyProcess:
+    """The proxy process."""
 
     def __init__(self, options):
-        self.record, self.random = (
-            Record(options["folder"], "proxy"),
+        self.event_log, self.random = (
+            EventLog(options["folder"], "proxy"),
             random.Random(options["seed"]),
         )
         self.routes = {name: Route(name, target) for name, _, target in options["routes"]}
@@ -51,62 +57,69 @@
                 listeners = await trio.open_tcp_listeners(self.ports[route.name], host="127.0.0.1")
                 self.nursery.start_soon(
                     trio.serve_listeners,
-                    lambda stream, route=route: self.carry(route, stream),
+                    lambda stream, route=route: self.serve_connection(route, stream),
                     listeners,
                 )
-            self.record.note("listening")
-            async for line in lines():
-                await self.follow(json.loads(line))
+            self.event_log.write("listening")
+            async for line in read_stdin_lines():
+                await self.apply_command(json.loads(line))
             self.nursery.cancel_scope.cancel()
 
-    async def follow(self, word):
-        route = self.routes[word["leaf"]]
-        self.record.note("told to", **word)
-        if word["do"] == "stall":
-            route.stalled_until = now() + word["s"]
-        elif word["do"] == "refuse":
-            route.refused_until = now() + word["s"]
-        for pair in list(route.pairs):
-            if word["do"] == "silence":
-                pair.silent = True
-            elif word["do"] == "cut":
-                pair.left = self.random.randint(1, 60)
-            elif word["do"] == "reset":
-                await reset(pair.near)
-
-    async def carry(self, route, near):
+    async def apply_command(self, command):
+        route = self.routes[command["leaf"]]
+        self.event_log.write("told to", **command)
+        if command["do"] == "stall":
+            route.stalled_until = now() + command["s"]
+        elif command["do"] == "refuse":
+            route.refused_until = now() + command["s"]
+        for connection in list(route.connections):
+            if command["do"] == "silence":
+                connection.silenced = True
+            elif command["do"] == "cut":
+                connection.bytes_until_cut = self.random.randint(1, 60)
+            elif command["do"] == "reset":
+                await reset_connection(connection.downstream)
+
+    async def serve_connection(self, route, downstream):
         if now() < route.refused_until:
-            await reset(near)
+            await reset_connection(downstream)
             return
         try:
-            far = await trio.open_tcp_stream("127.0.0.1", route.target)
+            upstream = await trio.open_tcp_stream("127.0.0.1", route.target)
         except OSError:
-            await reset(near)  # the leaf's process is gone
+            await reset_connection(downstream)  # the leaf process is not running
             return
-        pair = Pair(near, far)
-        route.pairs.add(pair)
+        connection = ProxiedConnection(downstream, upstream)
+        route.connections.add(connection)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self.way, route, pair, near, far, nursery.cancel_scope)
-            nursery.start_soon(self.way, route, pair, far, near, nursery.cancel_scope)
-        route.pairs.discard(pair)
-        await trio.aclose_forcefully(near)
-        await trio.aclose_forcefully(far)
-
-    async def way(self, route, pair, source, target, scope):
+            nursery.start_soon(
+                self.forward, route, connection, downstream, upstream, nursery.cancel_scope
+            )
+            nursery.start_soon(
+                self.forward, route, connection, upstream, downstream, nursery.cancel_scope
+            )
+        route.connections.discard(connection)
+        await trio.aclose_forcefully(downstream)
+        await trio.aclose_forcefully(upstream)
+
+    async def forward(self, route, connection, source, target, scope):
         try:
             while data := await source.receive_some(1 << 14):
-                while now() < route.stalled_until or pair.silent:
+                while now() < route.stalled_until or connection.silenced:
                     await trio.sleep(0.02)
-                if pair.left is not None and source is pair.far:
-                    data, pair.left = data[: pair.left], pair.left - len(data)
+                if connection.bytes_until_cut is not None and source is connection.upstream:
+                    data, connection.bytes_until_cut = (
+                        data[: connection.bytes_until_cut],
+                        connection.bytes_until_cut - len(data),
+                    )
                 await target.send_all(data)
-                if pair.left is not None and pair.left <= 0:
-                    await reset(target)
+                if connection.bytes_until_cut is not None and connection.bytes_until_cut <= 0:
+                    await reset_connection(target)
                     break
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            await reset(target)
+            await reset_connection(target)
         scope.cancel()
 
 
 if __name__ == "__main__":
-    trio.run(Proxy(json.loads(sys.argv[1])).run)
+    trio.run(ProxyProcess(json.loads(sys.argv[1])).run)
--- a/mothnotch/soak/records.py
+++ b/mothnotch/soak/records.py
@@ -1,5 +1,5 @@
-"""What the processes of a soak saw, one JSON line an event, on the one monotonic clock that they
-share.
+"""The event logs of a soak: each process appends one JSON line per event, timed by the monotonic
+clock that all processes of the machine share.
 """
 
 import json
@@ -8,12 +8,12 @@
 
 
 def now():
-    """Seconds of the machine's monotonic clock: the same in every process."""
+    """Return the seconds of the monotonic clock, which is the same in every process."""
     return time.monotonic()
 
 
-class Record:
-    """The events of one process."""
+class EventLog:
+    """Appends the events of one process to its file."""
 
     def __init__(self, folder, name):
         self.name = name
@@ -21,16 +21,16 @@
             os.path.join(folder, f"{name}.jsonl"), os.O_WRONLY | os.O_CREAT | os.O_APPEND
         )
 
-    def note(self, kind, **fields):
+    def write(self, kind, **fields):
         line = json.dumps({"t": now(), "who": self.name, "kind": kind, **fields}) + "\n"
         os.write(self.descriptor, line.encode())
 
 
-def load(folder):
-    """All events of a soak, in the order of their times."""
-    found = []
+def load_events(folder):
+    """Return all events of a soak, ordered by time."""
+    events = []
     for name in sorted(os.listdir(folder)):
         if name.endswith(".jsonl"):
             with open(os.path.join(folder, name), encoding="utf-8", errors="replace") as file:
-                found += [json.loads(line) for line in file if line.endswith("\n")]
-    return sorted(found, key=lambda event: event["t"])
+                events += [json.loads(line) for line in file if line.endswith("\n")]
+    return sorted(events, key=lambda event: event["t"])
--- a/mothnotch/soak/settings.py
+++ b/mothnotch/soak/settings.py
@@ -1,6 +1,4 @@
-"""The deployment that a soak plays: its settings as the roots' configuration states them, drawn by
-seed.
-"""
+"""The deployment of a soak, drawn by seed, and the settings that its roots run with."""
 
 from dataclasses import dataclass
 
@@ -11,26 +9,31 @@
 
 @dataclass(frozen=True)
 class Deployment:
-    """What differs between soaks."""
+    """The parameters that differ between soaks."""
 
     roots: int
     leaves: int
-    streams: int  # parts that a leaf works on, a connection
-    idle_s: float  # after which a leaf closes a connection
-    cancel: bool  # whether roots may call off
-    stops: str  # what a leaf does with a part given up: "none", "queued" or "all"
-    copies: bool  # whether second copies are allowed
+    streams: int  # most parts that a leaf accepts at once per connection
+    idle_s: float  # a leaf closes a connection that is idle for this long
+    cancel: bool  # whether roots may cancel parts
+    stops: str  # which cancelled parts a leaf stops: "none", "queued" or "all"
+    copies: bool  # whether a part may run at two leaves at once
     attempts: int
-    window_s: float  # in which a keyed repeat is dropped
+    window_s: float  # within it a leaf drops a repeat with the same key
     deadline_s: float
     drain_grace_s: float
-    sockets: int = 512  # descriptors that a root may hold
-    crowd: bool = False  # whether idle clients fill the share of descriptors
+    sockets: int = 512  # file descriptors that a root may open
+    crowd: bool = False  # whether idle clients use up the descriptors for clients
 
     def settings(self, me):
-        """The settings object of one root."""
+        """Return the settings object of root number `me`."""
         deadline = int(self.deadline_s * 1e6)
-        lane = {"aimUs": deadline // 2, "deadlineUs": deadline, "worth": 1.0, "lateWorth": 0.3}
+        class_defaults = {
+            "aimUs": deadline // 2,
+            "deadlineUs": deadline,
+            "worth": 1.0,
+            "lateWorth": 0.3,
+        }
         return {
             "balancers": self.roots,
             "me": me,
@@ -50,14 +53,14 @@
                 "secondStep": [0] * 3,
             },
             "lanes": [
-                {"name": "read", "semantics": "pure", **lane},
+                {"name": "read", "semantics": "pure", **class_defaults},
                 {
                     "name": "hold",
                     "semantics": "token",
                     "repeatWindowUs": int(self.window_s * 1e6),
-                    **lane,
+                    **class_defaults,
                 },
-                {"name": "book", "semantics": "side_effect", **lane},
+                {"name": "book", "semantics": "side_effect", **class_defaults},
             ],
             "limits": {
                 "cancel": self.cancel,
@@ -84,8 +87,8 @@
         }
 
 
-def draw(random):
-    """A deployment by a seeded generator."""
+def draw_deployment(random):
+    """Return a deployment drawn from a seeded generator."""
     cancel = random.random() < 0.8
     return Deployment(
         roots=random.randint(2, 4),
@@ -104,6 +107,6 @@
     )
 
 
-def value_of(predicate, shard):
-    """The value that any leaf gives for a part."""
+def expected_value(predicate, shard):
+    """Return the value with which every leaf answers a part."""
     return f"{predicate}/{shard}"
--- a/tests/support/root_process.py
+++ b/tests/support/root_process.py
@@ -108,7 +108,7 @@
         **os.environ,
         "BALANCER_CONFIG": str(config_path),
         "PYTHONPATH": str(tmp_path),
-        shim.VARIABLE: str(control_path),
+        shim.CONTROL_VARIABLE: str(control_path),
         "PYTHONDONTWRITEBYTECODE": "1",
     }
     with open(stderr or log_path, "w") as log:
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -18,10 +18,10 @@
 
 
 @real
-@pytest.mark.parametrize("stamps_too", [False, True])
+@pytest.mark.parametrize("step_timestamps", [False, True])
 @pytest.mark.parametrize("step_s", STEPS)
 async def test_a_step_between_arrival_and_read_takes_no_time_from_a_request(
-    tmp_path, step_s, stamps_too
+    tmp_path, step_s, step_timestamps
 ):
     async with root_process(tmp_path) as root:
         client, link = root.client(), await used_link(root, root.home(0))
@@ -30,9 +30,9 @@
             client.now(request("r1", "read", (0,), timeout_ms=2000))
             await trio.sleep(0.1)
             # The kernel takes a time stamp at arrival; a later step of the clock does not change it.
-            root.control.step_wall(step_s, stamps_too=False)
-            if stamps_too:
-                root.control.step_wall(0, stamps_too=True)
+            root.control.step_wall_clock(step_s, step_timestamps=False)
+            if step_timestamps:
+                root.control.step_wall_clock(0, step_timestamps=True)
         letter, rest = await link.frame()
         assert letter == "m" and ids(rest) == ["r1.0"]
         deadline_ms, elapsed_ms = frames_of(rest)[0][2], (trio.current_time() - sent_s) * 1000
@@ -60,7 +60,7 @@
                 client.now(request(f"r{n}", "read", (0,), timeout_ms=2000))
             sent_s = trio.current_time()
             await trio.sleep(0.5)
-            root.control.step_wall(step_s)
+            root.control.step_wall_clock(step_s)
         link, deadlines_ms = await home.link(), []
         while len(deadlines_ms) < 5:
             letter, rest = await link.frame()
@@ -84,7 +84,7 @@
             async with root.held():
                 await link.good(f"w{n}.0")
                 await trio.sleep(0.02)
-                root.control.step_wall(step_s, stamps_too=False)
+                root.control.step_wall_clock(step_s, step_timestamps=False)
             assert (await client.answer())[0] == 200
 
 
@@ -130,7 +130,7 @@
 async def test_a_recently_started_leaf_is_cold_at_any_wall_clock_time(tmp_path, step_s):
     async with root_process(tmp_path, **slow_start_settings()) as root:
         home, other = root.holders(0)
-        root.control.step_wall(step_s)
+        root.control.step_wall_clock(step_s)
         await trio.sleep(0.1)
         await root.rig.first.say(41, root.rig.target(home, boot_ms=int((time.time() - 1) * 1000)))
         await trio.sleep(0.2)
@@ -162,7 +162,7 @@
 
         async def repeat_list():
             for rev in range(42, 90):
-                root.control.step_wall(step_s if rev % 2 else -step_s)
+                root.control.step_wall_clock(step_s if rev % 2 else -step_s)
                 await root.rig.first.say(rev, *targets, whole=True)
                 await trio.sleep(0.02)
 
@@ -182,7 +182,7 @@
         link = await home.link()
         assert await link.call() == ["r1.0"]
         await trio.sleep(1.0)
-        root.control.step_wall(step_s)
+        root.control.step_wall_clock(step_s)
         link.stream.socket.close()  # the part may have run, and its retry window is over
         assert (await client.answer())[0] == 504
         await other.nobody()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -70,7 +70,7 @@
         client = root.client()
         client.now(request("r1", "read", (0,), timeout_ms=4000))
         assert (await client.answer())[0] == 200
-        root.control.calm()
+        root.control.clear_failures()
         root.send_signal(signal.SIGTERM)
         assert await root.ended() == 0
         assert '"stopped"' in root.log()
@@ -95,7 +95,7 @@
             root.control.fail("accept", error, count=10**6)
             await trio.sleep(0.4)
         await trio.sleep(0.1)
-        root.control.calm()
+        root.control.clear_failures()
         assert [got and got[0] for got in [await client.answer() for client in late]] == [200] * 3
         assert await root.ended() == 0
 
@@ -114,7 +114,7 @@
         assert answer is not None and answer[0] == 200, answer
         client.now(request("r2", "read", (0, 1, 2), timeout_ms=4000))
         assert (await client.answer())[0] == 200
-        assert root.control.failed(call) == 5
+        assert root.control.failure_count(call) == 5
 
 
 @real
@@ -137,7 +137,7 @@
         client.now(request("r1", "read", (0,), timeout_ms=4000))
         answer = await client.answer()
         assert answer is not None and answer[0] in (200, 503), answer
-        root.control.calm()
+        root.control.clear_failures()
         client.now(request("r2", "read", (0,), timeout_ms=4000))
         assert (await client.answer())[0] == 200
 
