--- a/benchmarks/last_list.py
+++ b/benchmarks/last_list.py
@@ -1,6 +1,7 @@
-"""Weighs SQLite and LMDB for the list on disk: time of a durable save, size, and what damage does.
+"""Compare SQLite and LMDB as the store of the cached endpoint list.
 
-Run from the root:
+It measures the time of a durable save, the size of the file, and the effect of damage to the file.
+Run it from the root of the repository:
 
     .venv/bin/python -m benchmarks.last_list
 """
@@ -18,10 +19,10 @@
 from mothnotch.store.endpoint_cache import EndpointCache, encode_leaves
 
 LEAVES = [
-    CachedLeaf(f"node-{n}/leaf", f"10.0.0.{n}:5432", "z", n % 8, "up", 1.0, 1.8e9)
-    for n in range(130)
+    CachedLeaf(f"node-{index}/leaf", f"10.0.0.{index}:5432", "z", index % 8, "up", 1.0, 1.8e9)
+    for index in range(130)
 ]
-READ = """
+LMDB_READER = """
 import sys, lmdb
 env = lmdb.open(sys.argv[1], subdir=False, readonly=False, map_size=1 << 24)
 with env.begin() as t:
@@ -29,59 +30,64 @@
 """
 
 
-def lmdb_save(path, body):
+def save_to_lmdb(path, body):
+    """Save the encoded list in an LMDB file."""
     env = lmdb.open(path, subdir=False, map_size=1 << 24)
-    with env.begin(write=True) as t:
-        t.put(b"list", body)
+    with env.begin(write=True) as transaction:
+        transaction.put(b"list", body)
     env.close()
 
 
-def damaged(sound, r):
-    data = bytearray(sound[: r.randrange(len(sound))] if r.random() < 0.5 else sound)
-    for _ in range(r.choice([1, 8, 64])):
+def corrupt(intact, rng):
+    """Return a copy of the bytes with flipped bits, in half of the cases also truncated."""
+    data = bytearray(intact[: rng.randrange(len(intact))] if rng.random() < 0.5 else intact)
+    for _ in range(rng.choice([1, 8, 64])):
         if data:
-            data[r.randrange(len(data))] ^= 1 << r.randrange(8)
+            data[rng.randrange(len(data))] ^= 1 << rng.randrange(8)
     return bytes(data)
 
 
 def main():
+    """Run the comparison and print its figures."""
     body = encode_leaves(LEAVES)
-    with tempfile.TemporaryDirectory() as folder:
-        store, other = EndpointCache(f"{folder}/l.db", "x"), f"{folder}/l.lmdb"
+    with tempfile.TemporaryDirectory() as directory:
+        cache, lmdb_path = EndpointCache(f"{directory}/l.db", "x"), f"{directory}/l.lmdb"
         saves = {
-            "sqlite": lambda k: store.save(LEAVES, k, float(k)),
-            "lmdb": lambda k: lmdb_save(other, body),
+            "sqlite": lambda number: cache.save(LEAVES, number, float(number)),
+            "lmdb": lambda number: save_to_lmdb(lmdb_path, body),
         }
         times = {name: [] for name in saves}
-        for k in range(100):
+        for number in range(100):
             for name, save in saves.items():
-                begun = time.perf_counter()
-                save(k)
-                times[name].append(1000 * (time.perf_counter() - begun))
-        for name, path in (("sqlite", store.path), ("lmdb", other)):
+                started = time.perf_counter()
+                save(number)
+                times[name].append(1000 * (time.perf_counter() - started))
+        for name, path in (("sqlite", cache.path), ("lmdb", lmdb_path)):
             print(
-                f"{name}: save of 130 leaves p50 {sorted(times[name])[50]:.2f} ms, file {os.path.getsize(path)} bytes"
+                f"{name}: save of 130 leaves p50 {sorted(times[name])[50]:.2f} ms, "
+                f"file {os.path.getsize(path)} bytes"
             )
-        r, sound, killed, refused = random.Random(1), open(other, "rb").read(), 0, 0
+        rng, intact, killed, failed = random.Random(1), open(lmdb_path, "rb").read(), 0, 0
         for _ in range(60):
-            with open(other, "wb") as file:
-                file.write(damaged(sound, r))
-            code = subprocess.run(
-                [sys.executable, "-c", READ, other], stderr=subprocess.DEVNULL
+            with open(lmdb_path, "wb") as file:
+                file.write(corrupt(intact, rng))
+            status = subprocess.run(
+                [sys.executable, "-c", LMDB_READER, lmdb_path], stderr=subprocess.DEVNULL
             ).returncode
-            killed, refused = killed + (code < 0), refused + (code > 0)
+            killed, failed = killed + (status < 0), failed + (status > 0)
         print(
-            f"lmdb: 60 damaged files: the reading process was killed {killed} times, an error was raised {refused} times"
+            f"lmdb: 60 damaged files: the reading process was killed {killed} times, "
+            f"an error was raised {failed} times"
         )
-        sound, raised = open(store.path, "rb").read(), 0
+        intact, raised = open(cache.path, "rb").read(), 0
         for _ in range(60):
-            with open(store.path, "wb") as file:
-                file.write(damaged(sound, r))
+            with open(cache.path, "wb") as file:
+                file.write(corrupt(intact, rng))
             try:
-                store.load()
+                cache.load()
             except Exception:
                 raised += 1
-        print(f"sqlite: 60 damaged files: never killed; an error that was not caught {raised}")
+        print(f"sqlite: 60 damaged files: never killed; uncaught errors: {raised}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/merge.py
+++ b/benchmarks/merge.py
@@ -1,6 +1,6 @@
-"""Weighs the merge against a tree of losers, bare heapq.merge and a plain full sort, in one run.
+"""Compare the merge with a loser tree, plain heapq.merge and a full sort, in one run.
 
-Run from the root:
+Run it from the root of the repository:
 
     .venv/bin/python -m benchmarks.merge
 """
@@ -14,38 +14,45 @@
 from mothnotch.merge.sorting import Losers, merge
 
 
-def first(row):
+def sort_key(row):
+    """Return the first column."""
     return row[0]
 
 
-def ways(parts):
-    """Each way as a function that gives how many rows came out."""
+def variants(parts):
+    """Return each variant by name, as a function that returns the number of rows."""
     return {
-        "merge": lambda: sum(len(b) for b in merge([blocks(p) for p in parts], first)),
-        "losers": lambda: sum(1 for _ in Losers(parts, first)),
-        "heapq": lambda: sum(1 for _ in heapq.merge(*parts, key=first)),
-        "sort": lambda: len(sorted(itertools.chain(*parts), key=first)),
+        "merge": lambda: sum(
+            len(block) for block in merge([blocks(part) for part in parts], sort_key)
+        ),
+        "losers": lambda: sum(1 for _ in Losers(parts, sort_key)),
+        "heapq": lambda: sum(1 for _ in heapq.merge(*parts, key=sort_key)),
+        "sort": lambda: len(sorted(itertools.chain(*parts), key=sort_key)),
     }
 
 
 def main():
-    r, n = random.Random(1), 400_000
+    """Run the comparison and print its figures."""
+    rng, row_count = random.Random(1), 400_000
     print("parts | rows | merge s | losers | heapq.merge | full sort   (ratio to the merge)")
-    for k in (1, 8, 64, 256):
+    for part_count in (1, 8, 64, 256):
         parts = [
-            sorted(((r.randrange(1 << 30), b"x") for _ in range(n // k)), key=first)
-            for _ in range(k)
+            sorted(
+                ((rng.randrange(1 << 30), b"x") for _ in range(row_count // part_count)),
+                key=sort_key,
+            )
+            for _ in range(part_count)
         ]
         best = {}
         for _ in range(3):
-            for name, way in ways(parts).items():
-                begun = time.perf_counter()
-                assert way() == n // k * k
-                best[name] = min(best.get(name, 1e9), time.perf_counter() - begun)
+            for name, run in variants(parts).items():
+                started = time.perf_counter()
+                assert run() == row_count // part_count * part_count
+                best[name] = min(best.get(name, 1e9), time.perf_counter() - started)
         ratios = " | ".join(
             f"{best[name] / best['merge']:.2f}" for name in ("losers", "heapq", "sort")
         )
-        print(f"{k:5} | {n} | {best['merge']:.3f} | {ratios}")
+        print(f"{part_count:5} | {row_count} | {best['merge']:.3f} | {ratios}")
 
 
 if __name__ == "__main__":
--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -1,10 +1,12 @@
-"""CPU of a platform root a request, split by what it is spent on: `python -m benchmarks.node_cpu
-[SECONDS] [QUERIES_A_SECOND]`.
+"""Measure the CPU time of a platform root per request, by component.
 
-The root runs alone in this process; stand-in leaves, discovery and clients run in another, over
-loopback. Each piece counts the thread's CPU time between its entry and exit, less the pieces it
-calls. What the root believes of latency is set beside what its sockets saw: from the last byte of a
-call taken to the kernel's time of the answer.
+Usage: `python -m benchmarks.node_cpu [SECONDS] [QUERIES_A_SECOND]`.
+
+The root runs alone in this process; the stand-in leaves, discovery and clients run in another one,
+over loopback. Each component counts the CPU time of the thread between its entry and exit, without
+that of the components it calls. The latency of an attempt as the root reports it, from the last
+byte of the call sent to the kernel's time stamp of the answer, is printed beside the delay between
+that time stamp and the moment when the root reads the answer.
 """
 
 import json
@@ -22,36 +24,38 @@
 from mothnotch.standins import platform
 from mothnotch.standins.platform_settings import CELLS, REACH, options
 
-STACK, SPENT = [], {}
+CALL_STACK, CPU_BY_COMPONENT = [], {}
 
 
-def counted(owner, method, name):
-    """Counts a method's own CPU time under a name."""
-    inner = getattr(owner, method)
+def instrument(owner, method, component):
+    """Replace a method by one that adds its own CPU time to that of the component."""
+    original = getattr(owner, method)
 
-    def outer(*args, **more):
-        STACK.append([time.thread_time(), 0.0])
+    def wrapper(*args, **kwargs):
+        CALL_STACK.append([time.thread_time(), 0.0])
         try:
-            return inner(*args, **more)
+            return original(*args, **kwargs)
         finally:
-            began, below = STACK.pop()
-            took = time.thread_time() - began
-            SPENT[name] = SPENT.get(name, 0.0) + took - below
-            if STACK:
-                STACK[-1][1] += took
+            started, callees_s = CALL_STACK.pop()
+            elapsed_s = time.thread_time() - started
+            CPU_BY_COMPONENT[component] = (
+                CPU_BY_COMPONENT.get(component, 0.0) + elapsed_s - callees_s
+            )
+            if CALL_STACK:
+                CALL_STACK[-1][1] += elapsed_s
 
-    setattr(owner, method, outer)
+    setattr(owner, method, wrapper)
 
 
-def peers(pipe, seconds, rate):
-    """Leaves, discovery and clients, in a process of their own."""
+def run_peers(pipe, seconds, rate):
+    """Run the leaves, discovery and clients in this process until all queries have ended."""
 
     async def main():
         world, network = platform.World(), SocketNetwork()
         async with trio.open_nursery() as nursery:
             leaves = [
-                platform.Leaf(world, network, f"s{n}", n, CELLS, REACH, 0.02, "127.0.0.1:0")
-                for n in range(CELLS)
+                platform.Leaf(world, network, f"s{cell}", cell, CELLS, REACH, 0.02, "127.0.0.1:0")
+                for cell in range(CELLS)
             ]
             for leaf in leaves:
                 await nursery.start(leaf.run)
@@ -63,21 +67,23 @@
             await nursery.start(discovery.run)
             pipe.send((discovery.address, targets))
             address = await trio.to_thread.run_sync(pipe.recv)
-            idle = []
+            idle_clients = []
 
-            async def ask(n):
+            async def send_query(number):
                 client = (
-                    idle.pop() if idle else await platform.Client(world, network, address).connect()
+                    idle_clients.pop()
+                    if idle_clients
+                    else await platform.Client(world, network, address).connect()
                 )
-                await client.ask(f"r{n}", "read", tuple(range(4)), f"t{n}")
-                idle.append(client)
+                await client.ask(f"r{number}", "read", tuple(range(4)), f"t{number}")
+                idle_clients.append(client)
 
-            began = trio.current_time()
-            for n in range(int(seconds * rate)):
-                await trio.sleep_until(began + n / rate)
-                nursery.start_soon(ask, n)
+            started = trio.current_time()
+            for number in range(int(seconds * rate)):
+                await trio.sleep_until(started + number / rate)
+                nursery.start_soon(send_query, number)
             await trio.sleep(1)
-            answered = sum(a.final == "answered" for a in world.record.asks)
+            answered = sum(ask.final == "answered" for ask in world.record.asks)
             pipe.send((len(world.record.asks), answered))
             nursery.cancel_scope.cancel()
 
@@ -85,11 +91,14 @@
 
 
 def main(seconds=10.0, rate=100.0):
-    ours, theirs = multiprocessing.Pipe()
-    process = multiprocessing.Process(target=peers, args=(theirs, seconds, rate), daemon=True)
+    """Measure a root under that many queries a second, and print the figures."""
+    pipe, peers_pipe = multiprocessing.Pipe()
+    process = multiprocessing.Process(
+        target=run_peers, args=(peers_pipe, seconds, rate), daemon=True
+    )
     process.start()
-    discovery, targets = ours.recv()
-    text = json.dumps(
+    discovery, targets = pipe.recv()
+    config_text = json.dumps(
         {
             "name": "n0",
             "listen": "127.0.0.1:0",
@@ -100,7 +109,7 @@
             "settings": options(limits={"openCap": 400}),
         }
     )
-    for owner, method, name in (
+    for owner, method, component in (
         (Balancer, "handle", "module"),
         (client_connection.ClientConnection, "feed", "HTTP"),
         (client_connection.ClientConnection, "answer", "HTTP"),
@@ -108,54 +117,62 @@
         (answer_reader.AnswerReader, "take_frame", "frames"),
         (Dispatcher, "_turn", "core"),
     ):
-        counted(owner, method, name)
-    told, found = [], {}
+        instrument(owner, method, component)
+    latencies, measured = [], {}
 
     async def run():
         async with trio.open_nursery() as nursery:
-            made = root.NodeRoot(parse(text.encode()), SocketNetwork(), log.Log())
-            await nursery.start(made.run)
-            take, post = made.pool.answer_reader.take_frame, made.core.post
+            node_root = root.NodeRoot(parse(config_text.encode()), SocketNetwork(), log.Log())
+            await nursery.start(node_root.run)
+            take_frame, post = node_root.pool.answer_reader.take_frame, node_root.core.post
 
-            def taking(link, letter, rest, at_us):
-                found["at"], found["now"] = at_us, int(trio.current_time() * 1e6)
-                take(link, letter, rest, at_us)
+            def observe_frame(connection, frame_type, body, at_us):
+                measured["at"], measured["now"] = at_us, int(trio.current_time() * 1e6)
+                take_frame(connection, frame_type, body, at_us)
 
-            def posting(event):
-                if hasattr(event, "latency_us") and found:
-                    told.append((event.latency_us, found["now"] - found["at"]))
+            def observe_event(event):
+                if hasattr(event, "latency_us") and measured:
+                    latencies.append((event.latency_us, measured["now"] - measured["at"]))
                 post(event)
 
-            made.pool.answer_reader.take_frame, made.core.post = taking, posting
-            ours.send(made.addresses[0])
-            SPENT.clear()
-            began = time.process_time()
-            if not await trio.to_thread.run_sync(ours.poll, seconds + 30):
-                raise SystemExit("the peers did not come to an end")
-            found["ended"] = ours.recv()
-            found["total"] = time.process_time() - began
+            node_root.pool.answer_reader.take_frame, node_root.core.post = (
+                observe_frame,
+                observe_event,
+            )
+            pipe.send(node_root.addresses[0])
+            CPU_BY_COMPONENT.clear()
+            started = time.process_time()
+            if not await trio.to_thread.run_sync(pipe.poll, seconds + 30):
+                raise SystemExit("the process of the clients and leaves has not finished in time")
+            measured["ended"] = pipe.recv()
+            measured["total"] = time.process_time() - started
             nursery.cancel_scope.cancel()
 
     trio.run(run)
     process.join(5)
-    asked, answered = found["ended"]
-    SPENT["trio, sockets and the rest"] = found["total"] - sum(SPENT.values())
+    query_count, answered_count = measured["ended"]
+    CPU_BY_COMPONENT["trio, sockets and the rest"] = measured["total"] - sum(
+        CPU_BY_COMPONENT.values()
+    )
     print(
-        f"{asked} queries of 4 parts, {answered} answered; {found['total'] / asked * 1e6:.0f} microseconds of CPU a query"
+        f"{query_count} queries of 4 parts, {answered_count} answered; "
+        f"{measured['total'] / query_count * 1e6:.0f} microseconds of CPU a query"
     )
-    for name, took in sorted(SPENT.items(), key=lambda pair: -pair[1]):
-        print(f"  {took / found['total']:5.0%}  {took / asked * 1e6:6.0f} us  {name}")
-    if told:
-        told.sort()
-        lag = sorted(late for _, late in told)
-        at = [int(len(told) * q) for q in (0.5, 0.99)]
+    for component, cpu_s in sorted(CPU_BY_COMPONENT.items(), key=lambda item: -item[1]):
+        print(
+            f"  {cpu_s / measured['total']:5.0%}  {cpu_s / query_count * 1e6:6.0f} us  {component}"
+        )
+    if latencies:
+        latencies.sort()
+        delays = sorted(delay for _, delay in latencies)
+        ranks = [int(len(latencies) * fraction) for fraction in (0.5, 0.99)]
         print(
-            "latency told to the module, us (p50, p99):",
-            [told[n][0] for n in at],
-            "; read that much after the kernel had it:",
-            [lag[n] for n in at],
+            "latency reported to the balancer, us (p50, p99):",
+            [latencies[rank][0] for rank in ranks],
+            "; delay from the kernel's time stamp to the read:",
+            [delays[rank] for rank in ranks],
         )
 
 
 if __name__ == "__main__":
-    main(*(float(word) for word in sys.argv[1:]))
+    main(*(float(argument) for argument in sys.argv[1:]))
--- a/mothnotch/__init__.py
+++ b/mothnotch/__init__.py
@@ -1,1 +1,1 @@
-"""mothnotch: the decisions of a client library that reads many shards for one request."""
+"""mothnotch: a root that spreads each query over shards and merges the answers."""
--- a/mothnotch/__main__.py
+++ b/mothnotch/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m mothnotch`: the command line."""
+"""Run the command line as `python -m mothnotch`."""
 
 from mothnotch.cli import main
 
--- a/mothnotch/bench.py
+++ b/mothnotch/bench.py
@@ -1,8 +1,8 @@
-"""The benchmark: ratios within one run, over the same stand-in leaves, each a process of its own.
+"""The benchmark: ratios measured within one run over the same stand-in leaves.
 
-(a) one connection straight to one leaf, one part; (b) a hand-written asyncio scatter/gather of 8
-parts in the client's own process; (c) the same 8 parts through the root, a process of its own. A
-benchmark, not a timed test.
+It compares (a) a direct connection to one leaf that reads one part, (b) a hand-written asyncio
+scatter/gather of 8 parts in the process of the client, and (c) the same 8 parts through the root.
+The root and each leaf are separate processes. It is a benchmark, not a test: no time is asserted.
 """
 
 import asyncio
@@ -22,38 +22,44 @@
 from mothnotch.root.endpoint_file import EndpointFile
 from mothnotch.standins.client import Client
 
-PART_QUERY = "SELECT count(*) AS c0, sum(stock.qty) AS c1 FROM stock WHERE stock.bin >= $1 AND stock.bin < $2"
+PART_QUERY = (
+    "SELECT count(*) AS c0, sum(stock.qty) AS c1 FROM stock "
+    "WHERE stock.bin >= $1 AND stock.bin < $2"
+)
 FULL_QUERY = "SELECT count(*), sum(qty) FROM stock WHERE bin < 800"
 INT4 = 23
 
 
-def percentile_ms(times, share):
+def percentile_ms(times, fraction):
+    """Return a percentile, given as a fraction, of times in seconds, in milliseconds."""
     times = sorted(times)
-    return times[min(len(times) - 1, int(len(times) * share))] * 1000
+    return times[min(len(times) - 1, int(len(times) * fraction))] * 1000
 
 
 def process_cpu_s(pid):
-    """CPU seconds that a process has used."""
+    """Return the CPU time that a process has used, in seconds."""
     with open(f"/proc/{pid}/stat") as file:
         fields = file.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-# ---- (b): asyncio, by hand ----
+# ---- (b): hand-written asyncio scatter/gather ----
 
 
-class Link:
-    """One asyncio connection to a leaf, a call at a time."""
+class LeafConnection:
+    """An asyncio connection to a leaf, with one query at a time."""
 
     async def open(self, address):
+        """Connect to the leaf and return this connection once it is ready for a query."""
         host, port = address.split(":")
         self.reader, self.writer = await asyncio.open_connection(host, int(port))
         self.wire = wire.ClientConnection(1 << 24)
         self.writer.write(wire.startup({"user": "b", "database": "stock"}))
-        await self.until_ready()
+        await self.read_until_ready()
         return self
 
-    async def until_ready(self):
+    async def read_until_ready(self):
+        """Return the rows that the leaf sends until it is ready for the next query."""
         rows = []
         while True:
             event = self.wire.next_event()
@@ -67,7 +73,8 @@
             elif type(event) is wire.Ready:
                 return rows
 
-    async def ask(self, shard):
+    async def query_shard(self, shard):
+        """Return the rows of the part of the query for a shard."""
         low, high = shard * 100, shard * 100 + 100
         self.writer.write(
             wire.statement(
@@ -77,47 +84,51 @@
             )
             + wire.SYNC
         )
-        return await self.until_ready()
+        return await self.read_until_ready()
 
 
-async def gathered(addresses, seconds, workers):
-    """(times, CPU seconds) of scatter/gathers by so many workers, each with a connection to every
-    leaf.
+async def measure_scatter_gather(addresses, seconds, workers):
+    """Return (latencies, CPU seconds) of scatter/gathers by a number of concurrent workers.
+
+    Each worker has a connection to every leaf.
     """
     times = []
 
     async def worker():
-        links = [await Link().open(a) for a in addresses]
+        connections = [await LeafConnection().open(address) for address in addresses]
         end = time.perf_counter() + seconds
         while time.perf_counter() < end:
-            begun = time.perf_counter()
-            parts = await asyncio.gather(*(link.ask(n) for n, link in enumerate(links)))
+            started = time.perf_counter()
+            parts = await asyncio.gather(
+                *(connection.query_shard(shard) for shard, connection in enumerate(connections))
+            )
             count = sum(int(rows[0][0]) for rows in parts)
-            times.append(time.perf_counter() - begun)
-        for link in links:
-            link.writer.close()
+            times.append(time.perf_counter() - started)
+        for connection in connections:
+            connection.writer.close()
         return count
 
-    cpu = time.process_time()
+    cpu_started = time.process_time()
     await asyncio.gather(*(worker() for _ in range(workers)))
-    return times, time.process_time() - cpu
+    return times, time.process_time() - cpu_started
 
 
-# ---- (a) and (c): one connection a worker ----
+# ---- (a) and (c): one connection for each worker ----
 
 
-async def measure_latencies(address, statement, seconds, workers):
+async def measure_latencies(address, run_query, seconds, workers):
+    """Return the latencies of queries by a number of concurrent workers, in seconds."""
     network, times = net.SocketNetwork(), []
 
     async def worker():
-        c = Client(network, address)
-        await c.connect()
+        client = Client(network, address)
+        await client.connect()
         end = time.perf_counter() + seconds
         while time.perf_counter() < end:
-            begun = time.perf_counter()
-            await statement(c)
-            times.append(time.perf_counter() - begun)
-        c.close()
+            started = time.perf_counter()
+            await run_query(client)
+            times.append(time.perf_counter() - started)
+        client.close()
 
     async with trio.open_nursery() as nursery:
         for _ in range(workers):
@@ -125,28 +136,30 @@
     return times
 
 
-async def one_part(c):
-    await c.send(
+async def query_one_part(client):
+    """Query the part of shard 0 from a leaf."""
+    await client.send(
         wire.statement(f"/*mothnotch range=0*/ {PART_QUERY}", (INT4, INT4), (b"0", b"100"))
         + wire.SYNC
     )
-    assert (await c.reply()).error is None
+    assert (await client.reply()).error is None
 
 
-async def whole(c):
-    reply = await c.query(FULL_QUERY)
+async def query_all_parts(client):
+    """Send the query of 8 parts to the root."""
+    reply = await client.query(FULL_QUERY)
     assert reply.error is None, reply.error
 
 
 def run(folder, rosters, seconds, clients, profile):
-    """Runs the benchmark and prints it. `rosters`: (file, process) of each leaf, in order."""
+    """Run the benchmark and print its figures; `rosters` are the (file, process) of each leaf."""
     entries = []
-    for n, (path, process) in enumerate(rosters):
+    for index, (path, process) in enumerate(rosters):
         while not path.exists():
             if process.poll() is not None:
-                raise RuntimeError(f"leaf {n} ended with status {process.returncode}")
+                raise RuntimeError(f"leaf {index} ended with status {process.returncode}")
             time.sleep(0.05)
-        entries.append(json.loads(path.read_text())[n])
+        entries.append(json.loads(path.read_text())[index])
     roster = folder / "roster.json5"
     roster.write_text(json.dumps(entries))
     config = folder / "root.json5"
@@ -159,38 +172,41 @@
         text=True,
     )
     try:
-        root = process.stdout.readline().split("postgresql://")[1].strip()
-        trio.run(measure_latencies, root, whole, 1.0, clients)  # warm: connections, plans, medians
-        trio.run(measure_latencies, addresses[0], one_part, 0.5, 1)
+        root_address = process.stdout.readline().split("postgresql://")[1].strip()
+        # Warm up the connections, the plans and the latency statistics.
+        trio.run(measure_latencies, root_address, query_all_parts, 1.0, clients)
+        trio.run(measure_latencies, addresses[0], query_one_part, 0.5, 1)
         print(
-            f"8 parts a query, {len(addresses)} leaf processes, {seconds:g} s a figure, {os.cpu_count()} cores"
+            f"8 parts a query, {len(addresses)} leaf processes, {seconds:g} s a figure, "
+            f"{os.cpu_count()} cores"
         )
         print(f"{'':44}{'p50 ms':>9}{'p99 ms':>9}{'queries/s':>11}{'q/s/core':>10}")
         figures = {}
         for workers in (1, clients):
-            rows = (
+            variants = (
                 (
                     "a straight to one leaf, 1 part",
                     lambda w=workers: (
-                        trio.run(measure_latencies, addresses[0], one_part, seconds, w),
+                        trio.run(measure_latencies, addresses[0], query_one_part, seconds, w),
                         None,
                     ),
                 ),
                 (
                     "b asyncio scatter/gather, 8 parts",
-                    lambda w=workers: asyncio.run(gathered(addresses, seconds, w)),
+                    lambda w=workers: asyncio.run(measure_scatter_gather(addresses, seconds, w)),
                 ),
                 (
                     "c through the root, 8 parts",
-                    lambda w=workers: through(root, process, seconds, w),
+                    lambda w=workers: measure_root(root_address, process, seconds, w),
                 ),
             )
-            for name, measure in rows:
+            for name, measure in variants:
                 times, cpu = measure()
                 rate = len(times) / seconds
                 per_core = f"{len(times) / cpu:10.0f}" if cpu else f"{'':10}"
                 print(
-                    f"{name + f', {workers} at once':44}{percentile_ms(times, 0.5):9.2f}{percentile_ms(times, 0.99):9.2f}{rate:11.0f}"
+                    f"{name + f', {workers} at once':44}{percentile_ms(times, 0.5):9.2f}"
+                    f"{percentile_ms(times, 0.99):9.2f}{rate:11.0f}"
                     f"{per_core}"
                 )
                 figures[name[0], workers] = (
@@ -198,28 +214,35 @@
                     rate,
                     len(times) / cpu if cpu else None,
                 )
-        b, c = figures["b", 1], figures["c", 1]
-        print(f"root's p50 over scatter/gather: {c[0] - b[0]:+.2f} ms (ratio {c[0] / b[0]:.2f})")
-        b, c = figures["b", clients], figures["c", clients]
+        gather, root = figures["b", 1], figures["c", 1]
         print(
-            f"root's throughput over scatter/gather: {c[1] / b[1]:.2f}; per core {c[2] / b[2]:.2f}"
+            f"root's p50 over scatter/gather: {root[0] - gather[0]:+.2f} ms "
+            f"(ratio {root[0] / gather[0]:.2f})"
+        )
+        gather, root = figures["b", clients], figures["c", clients]
+        print(
+            f"root's throughput over scatter/gather: {root[1] / gather[1]:.2f}; "
+            f"per core {root[2] / gather[2]:.2f}"
         )
     finally:
         process.terminate()
         process.wait(10)
     if profile:
-        shares(roster, min(3.0, seconds))
+        print_cpu_shares(roster, min(3.0, seconds))
 
 
-def through(root, process, seconds, workers):
+def measure_root(address, process, seconds, workers):
+    """Return (latencies, CPU seconds of the root) of queries through the root."""
     before = process_cpu_s(process.pid)
-    times = trio.run(measure_latencies, root, whole, seconds, workers)
+    times = trio.run(measure_latencies, address, query_all_parts, seconds, workers)
     return times, process_cpu_s(process.pid) - before
 
 
-def shares(roster, seconds):
-    """Where the root's CPU goes, by package: it runs in this process, under the profiler, so only
-    shares count.
+def print_cpu_shares(roster, seconds):
+    """Print how the CPU time of the root divides among packages.
+
+    The root runs in this process under the profiler, which slows it down: only the shares are
+    meaningful.
     """
 
     async def main():
@@ -229,33 +252,33 @@
                     demo.config(), net.SocketNetwork(), logs.null_logger(), EndpointFile(roster)
                 ).run
             )
-            await measure_latencies(root.addresses[0], whole, 0.5, 2)
+            await measure_latencies(root.addresses[0], query_all_parts, 0.5, 2)
             profiler.enable()
-            await measure_latencies(root.addresses[0], whole, seconds, 8)
+            await measure_latencies(root.addresses[0], query_all_parts, seconds, 8)
             profiler.disable()
             nursery.cancel_scope.cancel()
 
     profiler = cProfile.Profile()
     trio.run(main)
-    found = {}
-    for (path, _, name), (_, _, own, _, _) in pstats.Stats(profiler).stats.items():
+    seconds_by_component = {}
+    for (path, _, name), (_, _, own_s, _, _) in pstats.Stats(profiler).stats.items():
         if "mothnotch/" in path:
-            bits = path.split("mothnotch/")[-1].split("/")
-            where = bits[0] if len(bits) > 1 else bits[-1]
+            path_parts = path.split("mothnotch/")[-1].split("/")
+            component = path_parts[0] if len(path_parts) > 1 else path_parts[-1]
         elif "/trio/" in path:
-            where = "trio"
+            component = "trio"
         elif "select.epoll" in name or "poll" in name:
             continue
         else:
-            where = "sockets" if "socket" in name else "built-ins and library"
-        if where not in ("standins", "bench.py"):
-            found[where] = found.get(where, 0) + own
-    total = sum(found.values())
+            component = "sockets" if "socket" in name else "built-ins and library"
+        if component not in ("standins", "bench.py"):
+            seconds_by_component[component] = seconds_by_component.get(component, 0) + own_s
+    total_s = sum(seconds_by_component.values())
     print(
         "where the root's CPU goes (profiled): "
         + ", ".join(
-            f"{name} {own / total:.0%}"
-            for name, own in sorted(found.items(), key=lambda f: -f[1])
-            if own / total > 0.005
+            f"{package} {own_s / total_s:.0%}"
+            for package, own_s in sorted(seconds_by_component.items(), key=lambda item: -item[1])
+            if own_s / total_s > 0.005
         )
     )
--- a/mothnotch/demo.py
+++ b/mothnotch/demo.py
@@ -1,5 +1,5 @@
-"""The demo fleet: sample tables over 24 bin ranges on 8 stand-in leaves, and a root's configuration
-for it.
+"""The demo fleet: sample tables in 24 bin ranges on 8 stand-in leaves, and the configuration of a
+root for them.
 """
 
 import json
@@ -69,52 +69,61 @@
 
 
 def config(**changes):
-    """The demo's configuration, checked."""
-    found = msgspec.convert({**CONFIG, **changes}, Config, strict=True)
-    errors = check(found)
+    """Return the demo configuration with some keys changed; raise ValueError if it is invalid."""
+    changed = msgspec.convert({**CONFIG, **changes}, Config, strict=True)
+    errors = check(changed)
     if errors:
         raise ValueError("\n".join(errors))
-    return found
+    return changed
 
 
 def create_leaves(
     network, record, store=None, seed=1, rows=250, address="127.0.0.1:0", count=CELLS, **settings
 ):
-    """(store, leaves) of the demo fleet. Range n is held by the leaves of cells n and n + 1; leaf n
-    stands in cell n, modulo the cells.
+    """Return (store, leaves) of the demo fleet; `record` receives what happens at the leaves.
+
+    Leaf n is in cell n; range n is held by the leaves of the cells n and n + 1. Cells are numbered
+    modulo CELLS.
     """
-    conf = config()
-    store = store or Store(conf.bounds(), seed, rows)
-    made = []
-    for n in range(count):
+    demo_config = config()
+    store = store or Store(demo_config.bounds(), seed, rows)
+    leaves = []
+    for index in range(count):
         shards = frozenset(
-            s for s in range(SHARDS) if any((s + j) % CELLS == n % CELLS for j in range(REACH))
+            shard
+            for shard in range(SHARDS)
+            if any((shard + offset) % CELLS == index % CELLS for offset in range(REACH))
         )
-        made.append(
+        leaves.append(
             Leaf(
-                LeafSettings(f"leaf-{n}", address, ZONES[n % 2], shards, **settings),
+                LeafSettings(f"leaf-{index}", address, ZONES[index % 2], shards, **settings),
                 store,
                 network,
                 record,
                 seed,
             )
         )
-    return store, made
+    return store, leaves
 
 
-def with_consul(found, agent, held):
-    """That configuration, its list from an agent."""
+def with_consul(base, agent, cache_path):
+    """Return the configuration with a Consul agent as the source of the endpoint list."""
     return config(
         **{
-            **msgspec.to_builtins(found),
+            **msgspec.to_builtins(base),
             "roster": None,
-            "consul": {"agents": [agent], "service": "stock-leaf", "held": held, "register": {}},
+            "consul": {
+                "agents": [agent],
+                "service": "stock-leaf",
+                "held": cache_path,
+                "register": {},
+            },
         }
     )
 
 
 async def start_agent(network, fleet, address, nursery):
-    """A stand-in Consul agent with the fleet's leaves registered at it."""
+    """Start a stand-in Consul agent, register the leaves of the fleet with it, and return it."""
     catalogue = Catalogue()
     agent = await nursery.start(ConsulAgent(catalogue, network, address, "demo").run)
     nursery.start_soon(catalogue.run)
@@ -137,4 +146,5 @@
 
 
 def roster_text(fleet):
+    """Return the roster of the fleet as JSON."""
     return json.dumps(fleet.roster(CELLS), indent=1)
