--- a/tests/test_config.py
+++ b/tests/test_config.py
@@ -1,5 +1,6 @@
-"""The configuration is checked as a whole: each error names its path and the mend; the command line
-says so too.
+"""The configuration is validated completely, and each error names its path.
+
+The commands `check` and `serve` report the same errors, and `demo` ends together with its leaves.
 """
 
 import json
@@ -21,12 +22,13 @@
 PEERS = {"name": "a", "listen": "127.0.0.1:0", "fleet": "f", "keys": ["a key of these tests"]}
 
 
-def wrong(**changes):
+def errors_with(**changes):
+    """Return the errors of the demo configuration with some keys changed."""
     return check(decode(json.dumps({**demo.CONFIG, **changes}), Config, "c"), "c")
 
 
 @pytest.mark.parametrize(
-    "changes, named",
+    "changes, path",
     [
         ({"listen": ["nowhere"]}, "listen[0]"),
         ({"listen": []}, "listen"),
@@ -72,24 +74,26 @@
         ({"rules": {"budget_share": 0.1}}, "rules.budget_window_s"),
     ],
 )
-def test_every_error_names_its_path(changes, named):
-    assert any(line.startswith(f"c: {named}:") for line in wrong(**changes)), wrong(**changes)
+def test_every_error_names_its_path(changes, path):
+    assert any(line.startswith(f"c: {path}:") for line in errors_with(**changes)), errors_with(
+        **changes
+    )
 
 
-def test_the_demo_is_sound_and_settings_come_out_whole():
-    assert wrong() == [] and wrong(peers=PEERS) == []
+def test_the_demo_configuration_is_valid_and_converted_completely():
+    assert errors_with() == [] and errors_with(peers=PEERS) == []
     settings = demo.config().settings()
-    hold = settings.classes["hold-set"]
+    query_class = settings.classes["hold-set"]
     assert (
-        hold.idempotency.value == "keyed"
-        and hold.idempotency_window_us == 1_200_000
+        query_class.idempotency.value == "keyed"
+        and query_class.idempotency_window_us == 1_200_000
         and settings.cell_count == 8
     )
     assert demo.config().bounds()[:3] == (0, 100, 200)
 
 
 @pytest.mark.parametrize(
-    "text, said",
+    "text, expected",
     [
         ("{", "not JSON5"),
         ("{listen: 3}", "listen"),
@@ -98,25 +102,25 @@
         ("{classes: {a: {aim_ms: 'x'}}}", "classes"),
     ],
 )
-def test_unreadable_texts_say_where(text, said):
+def test_the_error_for_an_invalid_text_names_the_place(text, expected):
     with pytest.raises(ConfigError) as caught:
         decode(text, Config, "c")
-    assert said in str(caught.value)
+    assert expected in str(caught.value)
 
 
 def test_missing_and_binary_files_are_errors(tmp_path):
-    for name, raw in (("none", None), ("binary", b"\xff\xfe\x00")):
-        if raw is not None:
-            (tmp_path / name).write_bytes(raw)
+    for name, content in (("none", None), ("binary", b"\xff\xfe\x00")):
+        if content is not None:
+            (tmp_path / name).write_bytes(content)
         with pytest.raises(ConfigError, match="cannot be read"):
             load(tmp_path / name)
     with pytest.raises(ConfigError):
         load_roster("[{name: 'a', address: 'x', cell: 77}]", 8)
 
 
-def cli(*words, **options):
+def run_command(*arguments, **options):
     return subprocess.run(
-        [sys.executable, "-m", "mothnotch", *words],
+        [sys.executable, "-m", "mothnotch", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
@@ -124,22 +128,22 @@
     )
 
 
-def test_check_and_serve_name_errors_with_status_2(tmp_path):
+def test_check_and_serve_print_errors_and_exit_with_status_2(tmp_path):
     path = tmp_path / "root.json5"
-    path.write_text(cli("example").stdout)
-    done = cli("check", str(path))
-    assert done.returncode == 2 and "roster" in done.stderr
+    path.write_text(run_command("example").stdout)
+    completed = run_command("check", str(path))
+    assert completed.returncode == 2 and "roster" in completed.stderr
     (tmp_path / "roster.json5").write_text(
         "[{name: 'leaf-0', address: '127.0.0.1:1', cell: 0}]  // one leaf"
     )
-    done = cli("check", str(path))
-    assert done.returncode == 0 and "24 ranges" in done.stdout
+    completed = run_command("check", str(path))
+    assert completed.returncode == 0 and "24 ranges" in completed.stdout
     path.write_text(path.read_text().replace('"reach": 2', '"reach": 12'))
-    done = cli("serve", "--config", str(path))
-    assert done.returncode == 2 and "reach: must be between 1 and cells" in done.stderr
+    completed = run_command("serve", "--config", str(path))
+    assert completed.returncode == 2 and "reach: must be between 1 and cells" in completed.stderr
 
 
-def test_demo_serves_and_ends_with_its_leaves_at_a_signal():
+def test_demo_serves_and_ends_with_its_leaves_on_sigterm():
     process = subprocess.Popen(
         [sys.executable, "-m", "mothnotch", "demo", "--rows", "5"],
         stdout=subprocess.PIPE,
@@ -151,12 +155,12 @@
         assert "postgresql://" in line
         import psycopg
 
-        with psycopg.connect(line.split()[0], autocommit=True) as c:
-            assert c.execute("SELECT count(*) FROM stock").fetchone() == (120,)
+        with psycopg.connect(line.split()[0], autocommit=True) as connection:
+            assert connection.execute("SELECT count(*) FROM stock").fetchone() == (120,)
         children = Path(f"/proc/{process.pid}/task/{process.pid}/children").read_text().split()
-        begun = time.monotonic()
+        signalled = time.monotonic()
         process.send_signal(signal.SIGTERM)
-        assert process.wait(5) == 0 and time.monotonic() - begun < 5
+        assert process.wait(5) == 0 and time.monotonic() - signalled < 5
         assert children and not [pid for pid in children if Path(f"/proc/{pid}").exists()]
     finally:
         process.kill()
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -1,12 +1,12 @@
-"""What the project wrote at commit 4754c81 is still read, and still written byte for byte.
+"""Compatibility tests: data of commit 4754c81 is still read, and still written byte for byte.
 
-The files under tests/golden/ were written by commit 4754c81: inputs (`configuration.json5` and its
-like, `node.json`, `drill_in.txt`, what is sent in the sessions) by hand or sealed by that version's
-codec, everything else by running that version on them. They are never written anew to get a pass: a
-file that has to change is a change of the wire.
+The files under tests/golden/ come from commit 4754c81. The inputs (the configurations, rosters and
+scripts, `node.json`, `drill_in.txt`, and what is sent in the recorded sessions) were written by
+hand or signed by the codec of that version; all other files are its output for them. They are never
+regenerated to make a test pass: a file that has to change means that a wire format has changed.
 
-Names inside the program may change, so all of them stand in the adapters below, one for each form.
-Values taken from the program are compared by position (`plain`), never by names of fields.
+Names inside the program may change, so only the adapters below use them, one for each format.
+Values taken from the program are compared by position (`plain`), never by the names of fields.
 """
 
 import dataclasses
@@ -28,10 +28,11 @@
 import trio.testing
 
 GOLDEN = Path(__file__).parent / "golden"
-QUIET_S = 0.05  # of virtual time without a byte: the other side has said all it has to say now
+# Virtual time without a byte after which the other side is taken to have sent everything for now.
+QUIET_S = 0.05
 
 
-# ---- adapters: the only place that names what is inside the program ----
+# ---- adapters: the only place that uses internal names of the program ----
 
 
 def codec(fleet, keys):
@@ -86,7 +87,8 @@
     return c.View(v[0], v[1], tuple(v[2]), *v[3:6], seen, v[7], facts)
 
 
-PEER_FORMS = {  # kind -> (value from plain, how it is written, how it is read)
+# Message kind -> (constructor from the plain value, name of the encoder, name of the decoder).
+PEER_FORMS = {
     "datagram": (envelope, "encode", "decode"),
     "whole": (whole, "encode_full_state", "decode_full_state"),
     "view": (view, "encode_view", "decode_view"),
@@ -94,7 +96,7 @@
 
 
 def refusal(read, data):
-    """Why bytes are not taken, as a root counts them."""
+    """Return the reason for which a root rejects the bytes, as it counts it."""
     from mothnotch.peers.codec import InvalidMessageError
 
     with pytest.raises(InvalidMessageError) as found:
@@ -109,7 +111,7 @@
 
 
 def peer_root(network, key):
-    """A root's talk with its peers, not yet running; it listens at root:1 and knows nobody."""
+    """Return the peer service of a root, not yet running; it listens at root:1 and has no seeds."""
     from mothnotch.peers.service import PeerService
 
     return PeerService(network, Kept(), "r1", (5, 6), "root:1", [], "stock", [key], Random(7))
@@ -122,7 +124,7 @@
 
 
 def last_list(path):
-    """The store of the last list, as a root with the full configuration has it."""
+    """Return the endpoint cache as a root with the full configuration opens it."""
     from mothnotch.daemon import Root
 
     text = (GOLDEN / "configuration.json5").read_text()
@@ -166,7 +168,7 @@
 
 
 def taken(config):
-    """What the parts of the program take from a configuration, by position."""
+    """Return the settings that the packages derive from a configuration, by position."""
     found = [config.settings(), config.schema(), config.pool(), config.class_kinds()]
     if config.consul is not None:
         found.append(config.consul.membership(config.cells, config.reach))
@@ -202,7 +204,7 @@
 
 
 def node_request(query, headers, body, arrived_us):
-    """(id, request) that a platform root reads; settings and shards are those of node.json."""
+    """Return the (id, request) that a platform root with the settings of node.json parses."""
     from mothnotch.node.requests import parse
 
     config = node_config((GOLDEN / "node.json").read_bytes())
@@ -210,14 +212,14 @@
 
 
 def drill_events(lines):
-    """(time, events of each instance) that the simulator's adapter reads from a batch."""
+    """Return the (time, events of each instance) that the simulator adapter parses from a batch."""
     from mothnotch.simulator_adapter import Adapter
 
     return Adapter().read(lines)
 
 
 def drill_lines(actions):
-    """What the simulator's adapter writes for actions of root 3, given as name and values."""
+    """Return the lines of the simulator adapter for actions of root 3, given as name and values."""
     from mothnotch.decisions import interface as i
     from mothnotch.simulator_wire import action_line
 
@@ -238,7 +240,7 @@
 
 
 def drill(text):
-    """(status, what it writes without its DEBUG lines) of the simulator's adapter."""
+    """Return (exit status, output without the DEBUG lines) of the simulator adapter."""
     from mothnotch.simulator_adapter import main
 
     out = io.StringIO()
@@ -253,11 +255,11 @@
     return app
 
 
-# ---- helpers that name nothing of the program ----
+# ---- helpers that use no names of the program ----
 
 
 class Kept:
-    """A log that keeps nothing."""
+    """A log that discards everything."""
 
     def info(self, event, **fields):
         pass
@@ -266,8 +268,8 @@
 
 
 def plain(x):
-    """A value as JSON holds it: structs and dataclasses as lists of their fields in order,
-    members of enumerations by their number."""
+    """Return a value as JSON types: structs and dataclasses become lists of their fields in order,
+    members of enumerations their position."""
     if isinstance(x, Enum):
         return f"#{list(type(x)).index(x)}"
     if dataclasses.is_dataclass(x):
@@ -292,14 +294,14 @@
 
 
 def run(test, *args):
-    """Runs on a virtual clock, in one order of tasks."""
+    """Run on a virtual clock, with deterministic scheduling of tasks."""
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(1)
     return trio.run(test, *args, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 async def said(stream):
-    """All that comes until it is quiet; a line tells the end of the stream."""
+    """Return the bytes received until the stream is quiet; a line marks the end of the stream."""
     data = b""
     while True:
         with trio.move_on_after(QUIET_S) as scope:
@@ -312,7 +314,7 @@
 
 
 def paths(value, at=()):
-    """The places of all keys of nested objects."""
+    """Yield the paths of all keys of nested objects."""
     pairs = value.items() if isinstance(value, dict) else enumerate(value)
     for key, inner in pairs:
         if isinstance(value, dict):
@@ -322,7 +324,7 @@
 
 
 def renamed(value, path):
-    """A copy in which the key at a place has another name."""
+    """Return a copy in which the key at the path has another name."""
     value = json.loads(json.dumps(value))
     inner = value
     for key in path[:-1]:
@@ -342,7 +344,7 @@
 
 
 @pytest.mark.parametrize("name", PEERS["written"])
-def test_what_roots_say_is_read_and_written_as_before(name):
+def test_peer_messages_are_decoded_and_encoded_as_before(name):
     case = PEERS["written"][name]
     make, write, read = PEER_FORMS[case["kind"]]
     ours, data = codec(PEERS["fleet"], KEYS), bytes.fromhex(case["hex"])
@@ -351,7 +353,7 @@
 
 
 @pytest.mark.parametrize("name", PEERS["read"])
-def test_what_roots_of_other_releases_and_keys_say_is_read_as_before(name):
+def test_peer_messages_of_other_releases_and_keys_are_decoded_as_before(name):
     case = PEERS["read"][name]
     found = getattr(codec(PEERS["fleet"], KEYS), PEER_FORMS[case["kind"]][2])(
         bytes.fromhex(case["hex"])
@@ -360,7 +362,7 @@
 
 
 @pytest.mark.parametrize("name", PEERS["written"])
-def test_bytes_that_are_changed_anywhere_are_dropped_for_the_same_reasons(name):
+def test_messages_with_a_changed_byte_are_rejected_for_the_same_reasons(name):
     case = PEERS["written"][name]
     data = bytes.fromhex(case["hex"])
     read = getattr(codec(PEERS["fleet"], KEYS), PEER_FORMS[case["kind"]][2])
@@ -372,7 +374,7 @@
 
 
 async def peer_session(steps):
-    """Plays recorded sides against a root, and gives what that says at each "get"."""
+    """Replay the recorded peers against a root, and return what it sends at each "get" step."""
     network, found, streams = memory_network(), [], {}
     async with trio.open_nursery() as nursery:
         box = await network.bind_datagrams("peer:1")
@@ -400,12 +402,12 @@
     return found
 
 
-def test_a_root_says_the_same_over_datagrams_and_streams_in_a_recorded_session():
+def test_a_root_sends_the_same_datagrams_and_streams_in_a_recorded_session():
     steps = golden("peer_session.json")
     assert run(peer_session, steps) == [data for _, what, data in steps if what == "get"]
 
 
-def test_the_operators_question_and_a_roots_view_have_the_same_bytes_on_a_stream():
+def test_a_view_request_and_its_response_have_the_same_bytes_on_a_stream():
     question, answer = (bytes.fromhex(PEERS["written"][n]["hex"]) for n in ("view asked", "view"))
 
     async def main():
@@ -425,7 +427,7 @@
     run(main)
 
 
-# ---- the last list on disk ----
+# ---- the endpoint cache on disk ----
 
 LISTS = golden("last_list.json")
 
@@ -438,14 +440,14 @@
     return [list(row) for row in made], plain(kept)
 
 
-def test_a_last_list_written_by_the_version_before_is_read(tmp_path):
+def test_an_endpoint_cache_of_the_previous_version_is_read(tmp_path):
     path = tmp_path / "last-list.db"
     shutil.copy(GOLDEN / "last-list.db", path)
     leaves, index, saved, wrong = last_list(path).load()
     assert [plain(leaves), index, saved, wrong] == [*LISTS["saved"][-1], ""]
 
 
-def test_a_last_list_is_written_with_the_same_table_rows_and_checksums(tmp_path):
+def test_the_endpoint_cache_is_written_with_the_same_tables_rows_and_checksums(tmp_path):
     path = tmp_path / "last-list.db"
     store = last_list(path)
     for leaves, index, saved in LISTS["saved"]:
@@ -454,7 +456,7 @@
     assert rows(path) == rows(GOLDEN / "last-list.db")
 
 
-def test_a_last_list_whose_newest_is_damaged_gives_the_one_before(tmp_path):
+def test_an_endpoint_cache_with_a_damaged_newest_list_returns_the_previous_one(tmp_path):
     path = tmp_path / "last-list.db"
     shutil.copy(GOLDEN / "last-list.db", path)
     with sqlite3.connect(path) as db:
@@ -464,7 +466,7 @@
     assert [plain(leaves), index, saved] == LISTS["saved"][-2] and "checksum" in wrong
 
 
-def test_a_last_list_that_cannot_be_used_is_set_aside_under_the_same_name(tmp_path):
+def test_an_unusable_endpoint_cache_is_moved_aside_under_the_same_name(tmp_path):
     path = tmp_path / "last-list.db"
     path.write_bytes(b"no list" * 1000)
     assert last_list(path).load()[0] is None
@@ -473,20 +475,20 @@
     ).read_bytes() == b"no list" * 1000 and not path.exists()
 
 
-# ---- frames to leaves, and a platform root's whole wire ----
+# ---- frames to leaves, and all protocols of a platform root ----
 
 FRAMES = golden("frames.json")
 
 
 @pytest.mark.parametrize("name", FRAMES["written"])
-def test_a_frame_to_a_leaf_is_written_as_before(name):
+def test_a_frame_to_a_leaf_is_encoded_as_before(name):
     what, args, data = FRAMES["written"][name]
     if what == "call":
         args = [(*part[:4], part[4].encode()) for part in args]
     assert frames()[what](args).hex() == data
 
 
-def test_frames_from_leaves_are_cut_as_before_however_they_come():
+def test_frames_from_leaves_are_split_as_before_for_any_chunk_size():
     data = bytes.fromhex(FRAMES["stream"]["hex"])
     for step in (1, 7, len(data)):
         reader, found = frames()["reader"](), []
@@ -498,13 +500,13 @@
 
 
 @pytest.mark.parametrize("name", FRAMES["answers"])
-def test_an_answer_of_a_leaf_is_read_as_before(name):
+def test_an_answer_of_a_leaf_is_decoded_as_before(name):
     text, values = FRAMES["answers"][name]
     assert plain(frames()["answer"](text.encode())) == values
 
 
 async def node_session(steps):
-    """Plays a recorded client, leaf and discovery against a root, and gives what each was told."""
+    """Replay a recorded client, leaf and discovery against a root; return what each received."""
     network, found, streams = memory_network(), [], {}
     async with trio.open_nursery() as nursery:
         listeners = {who: (await network.listen(f"{who}:1"))[0] for who in ("leaf", "agent")}
@@ -528,7 +530,7 @@
     return found
 
 
-def test_a_platform_root_says_the_same_to_clients_leaves_and_discovery_in_a_recorded_session():
+def test_a_platform_root_sends_the_same_to_clients_leaves_and_discovery_in_a_recorded_session():
     steps = golden("node_steps.json")
     assert run(node_session, steps) == [[who, text] for who, what, text in steps if what == "get"]
 
@@ -537,7 +539,7 @@
 
 
 @pytest.mark.parametrize("name", REQUESTS)
-def test_a_request_of_a_client_is_read_as_before(name):
+def test_a_request_of_a_client_is_parsed_as_before(name):
     query, headers, body, values = REQUESTS[name]
     headers = [(key.encode(), value.encode()) for key, value in headers]
     assert plain(node_request(query, headers, body.encode(), 1_000_000)) == values
@@ -556,7 +558,7 @@
     return load(path)
 
 
-def test_every_key_of_a_configuration_is_read_and_means_what_it_meant(tmp_path):
+def test_every_key_of_a_configuration_is_read_with_the_same_meaning(tmp_path):
     found, value = loaded(full(), tmp_path), full()
     value["consul"]["held"] = str(tmp_path / "last-list.db")
     value["roster"] = None
@@ -578,7 +580,7 @@
     assert [value, taken(found)] == golden(f"{name.partition('.')[0]}_read.json")
 
 
-def test_the_defaults_of_the_sections_that_may_be_left_out_are_the_same(tmp_path):
+def test_the_defaults_of_optional_sections_are_the_same(tmp_path):
     value = full()
     value["consul"] = {"agents": ["127.0.0.1:8500"], "service": "s", "register": {}}
     value["peers"] = {"name": "r", "listen": "127.0.0.1:1", "fleet": "f", "keys": ["k" * 16]}
@@ -587,7 +589,7 @@
 
 
 @pytest.mark.parametrize("path", [p for p in paths(full()) if p[0] != "tables"], ids=where)
-def test_a_key_that_is_misspelt_is_an_error_or_names_another_thing(path, tmp_path):
+def test_a_misspelt_key_is_an_error_or_a_user_defined_name(path, tmp_path):
     before = msgspec.to_builtins(loaded(full(), tmp_path))
     try:
         after = loaded(renamed(full(), path), tmp_path)
@@ -598,7 +600,7 @@
         "meta",
         "users",
         "tenants",
-    ), "names of the user's own alone are free"
+    ), "only user-defined names may change"
     assert msgspec.to_builtins(after) != before
 
 
@@ -611,7 +613,7 @@
             load_roster(json.dumps(text), 2)
 
 
-def test_a_days_script_is_read_as_before():
+def test_the_script_of_a_day_is_read_as_before():
     text = (GOLDEN / "badday.json5").read_text()
     assert msgspec.to_builtins(load_day(text)) == pyjson5.decode(text)
     assert msgspec.to_builtins(load_day("{}")) == golden("badday_defaults.json")
@@ -621,7 +623,7 @@
     return plain(node_config(json.dumps(value).encode()))
 
 
-def test_a_platform_configuration_means_what_it_meant():
+def test_a_platform_configuration_is_read_as_before():
     assert node_values(golden("node.json")) == golden("node_read.json")
 
 
@@ -630,8 +632,8 @@
 
 
 @pytest.mark.parametrize("path", paths(golden("node.json")), ids=where)
-def test_every_key_of_a_platform_configuration_counts(path):
-    """Keys not known are skipped there: one that was renamed would be lost in silence."""
+def test_every_key_of_a_platform_configuration_takes_effect(path):
+    """Unknown keys are ignored in this format, so a renamed key would be lost without an error."""
     try:
         found = node_values(renamed(golden("node.json"), path))
     except ValueError:
@@ -639,17 +641,17 @@
     assert found != golden("node_read.json")
 
 
-# ---- the simulator's wire ----
+# ---- the simulator protocol ----
 
 DRILL_ACTIONS = golden("drill_actions.json")
 
 
-def test_the_simulators_wire_gets_the_same_lines_for_recorded_ones():
+def test_the_simulator_adapter_replies_to_recorded_lines_as_before():
     text = (GOLDEN / "drill_in.txt").read_text()
     assert drill(text) == (0, (GOLDEN / "drill_out.txt").read_text())
 
 
-def test_every_field_of_the_simulators_lines_is_read_as_before():
+def test_every_field_of_the_simulators_lines_is_parsed_as_before():
     lines, values = golden("drill_events.json")
     assert plain(drill_events(lines)) == values
 
@@ -658,7 +660,7 @@
     assert drill_lines([case[:2] for case in DRILL_ACTIONS]) == [case[2] for case in DRILL_ACTIONS]
 
 
-def test_the_recorded_lines_hold_each_kind_of_message():
+def test_the_recorded_lines_contain_each_kind_of_message():
     sent = {line.split()[0] for line in (GOLDEN / "drill_in.txt").read_text().splitlines()}
     got = {line.split()[0] for line in (GOLDEN / "drill_out.txt").read_text().splitlines()}
     assert sent == set(
@@ -686,7 +688,7 @@
     assert (done.returncode, done.stdout) == (0, (GOLDEN / "example.json").read_bytes())
 
 
-def test_the_modules_that_others_start_by_name_are_there():
+def test_modules_that_are_started_by_name_exist():
     done = program("mothnotch.drill", input=b"MARK nowUs=1\nOVER_TO_YOU\n")
     assert (done.returncode, done.stdout) == (0, b"DONE\n")
     done = program("mothnotch.node", env={})
@@ -700,7 +702,7 @@
 
 
 @pytest.mark.parametrize("words", COMMANDS, ids=lambda words: words[:60])
-def test_a_command_line_goes_on_working(words):
+def test_a_command_line_is_parsed_as_before(words):
     command, bound, _ = command_line().parse_args(
         words.split(), exit_on_error=False, print_error=False
     )
@@ -708,7 +710,7 @@
     assert found == COMMANDS[words]
 
 
-def test_no_command_of_before_is_missing_from_the_list():
+def test_no_command_is_missing_from_the_list():
     names = "check serve leaves demo badday fleetday bench members peers study example".split()
     assert {words.split()[0] for words in COMMANDS} == set(names)
     shown = program("mothnotch", "--help").stdout.decode().split()
