--- a/mothnotch/soak/__init__.py
+++ b/mothnotch/soak/__init__.py
@@ -1,3 +1,3 @@
-"""Randomized fault soak: real root processes on loopback under overlapping faults, judged by
-invariants.
+"""Randomized fault soak: real root processes on loopback under overlapping faults, checked
+against invariants.
 """
--- a/mothnotch/soak/client.py
+++ b/mothnotch/soak/client.py
@@ -66,8 +66,8 @@
     def __init__(self, stream, number, connect_started_s):
         """Wrap an open stream.
 
-        `connect_started_s` is the time before the connect call, from which the checks derive the root
-        process that accepted the connection.
+        `connect_started_s` is the time before the connect call. From it, the checks derive which
+        root process accepted the connection.
         """
         self.stream, self.buffer, self.requests_sent = stream, b"", 0
         self.number, self.connect_started_s = number, connect_started_s
--- a/mothnotch/soak/judge.py
+++ b/mothnotch/soak/judge.py
@@ -14,7 +14,7 @@
 ANSWER_SLACK_S = 0.5  # an answer counts as late this long after the client's timeout
 DISCONNECT_SLACK_S = 0.1  # an attempt may still begin for this long after its client left
 TIME_BUDGET_SLACK_MS = 150
-DISCOVERY_DELAY_MAX_S = 6.0  # a root must know a change after this time in which discovery works
+DISCOVERY_DELAY_MAX_S = 6.0  # longest time until a root knows a change while discovery works
 INCOMPLETE_REQUEST_TIMEOUT_S = 3.0  # an incomplete request gets an error or a close by then
 RESULTS_WITHOUT_EXECUTION = ("rejected", "unreachable", "unsent")
 DEFECT_LOG_EVENTS = (
@@ -41,7 +41,7 @@
 def check_history(events, deployment):
     """Return the Verdict on the events of one soak."""
     history, verdict = History(events, deployment), Verdict()
-    for rule in (
+    for check in (
         check_answers,
         check_answer_values,
         check_sends_after_disconnect,
@@ -54,7 +54,7 @@
         check_incomplete_requests,
         check_process_ends,
     ):
-        rule(history, verdict)
+        check(history, verdict)
     return verdict
 
 
@@ -177,7 +177,7 @@
 
 
 def check_overdue_drains(history, verdict, grace):
-    """The same from the time by which discovery should have told the root, even if no watch did."""
+    """As check_drains, from the latest time by which discovery has to tell the root."""
     state_changes = defaultdict(list)
     for event in history.by_kind["change"]:
         state_changes[event["leaf"]].append((event["t"], event["state"]))
--- a/mothnotch/soak/run.py
+++ b/mothnotch/soak/run.py
@@ -32,7 +32,7 @@
 CLIENTS_PER_ROOT, REQUEST_RATE = 2, 4.0
 RESTART_NOTICE_DELAY_S = 0.3
 MACHINE_STALL_THRESHOLD_S = 0.25  # a sleep that ends this late shows that the machine stalled
-START_SIGNAL_WINDOW_S = 0.4  # signals at the start are sent within this time of it
+START_SIGNAL_WINDOW_S = 0.4  # a root that starts gets signals within this time
 
 
 class Soak:
@@ -246,10 +246,10 @@
             )
 
     def read_events(self):
-        found = records.load_events(self.folder)
+        events = records.load_events(self.folder)
         for root in self.root_processes:
-            found += root.read_events()
-        return sorted(found, key=lambda event: event["t"])
+            events += root.read_events()
+        return sorted(events, key=lambda event: event["t"])
 
     async def wait_until_ready(self, number):
         """Wait until the readiness endpoint of a root answers 200."""
@@ -287,13 +287,13 @@
         elif fault.kind in ("hang leaf", "leaf mood", "close idle", "reset leaf"):
             if fault.kind == "hang leaf":
                 self.record_leaf_fault(fault.target, fault.parameters["s"])
-            do = {
+            command = {
                 "hang leaf": "hang",
                 "leaf mood": "mood",
                 "close idle": "close_idle",
                 "reset leaf": "reset",
             }[fault.kind]
-            self.leaves[fault.target].send_command(do=do, **fault.parameters)
+            self.leaves[fault.target].send_command(do=command, **fault.parameters)
         elif fault.kind.endswith("route"):
             self.record_leaf_fault(fault.target, fault.parameters.get("s", self.length_s))
             self.proxy.send_command(
@@ -309,7 +309,7 @@
     def record_leaf_fault(self, leaf, s):
         self.event_log.write("leaf trouble", leaf=f"s{leaf}", s=s)
 
-    async def stop_root(self, number, again, series=("TERM",), gap_s=0.0):
+    async def stop_root(self, number, restart, series=("TERM",), gap_s=0.0):
         """Send signals, SIGTERM among them; kill the root if it does not end in time after that."""
         root = self.current_processes[number]
         if root is None or root.process.poll() is not None:
@@ -332,7 +332,7 @@
             root.process.kill()  # should have ended by itself: reported as a crash
             root.process.wait()
         root.record_end()
-        if again:
+        if restart:
             self.start_root(number)
             await self.wait_until_ready(number)
 
@@ -458,7 +458,7 @@
         default=tempfile.gettempdir(),
         help="folder for the records of soaks that broke a rule",
     )
-    parser.add_argument("--json", help="file that gets a line a soak")
+    parser.add_argument("--json", help="file to which one JSON line per soak is appended")
     options, failed, answered = parser.parse_args(), 0, 0
     try:
         pathlib.Path(options.keep).mkdir(parents=True, exist_ok=True)
