--- a/mothnotch/net/__init__.py
+++ b/mothnotch/net/__init__.py
@@ -1,13 +1,13 @@
-"""The one seam to sockets and clocks: everything above it runs over sockets or in memory.
+"""Network and clock abstraction: all other code runs over real sockets or in memory.
 
-A `Network` opens and listens; addresses are text: `host:port`, `[v6]:port` or `unix:/path`. Time is
-trio's own (`trio.current_time`, in seconds), so a virtual clock needs nothing here but the wall
-clock of the same run. `bind_datagrams(address)` returns an object with `address`, `receive(most)`,
-`send(address, data)` and `close()`: a send never waits, and what cannot be sent is lost, as any
-datagram may be.
+A network object opens connections and listens. Addresses are strings: `host:port`, `[v6]:port` or
+`unix:/path`. Time is trio's (`trio.current_time`, in seconds), so a virtual clock needs nothing
+here but the wall clock of the same run. `bind_datagrams(address)` returns an object with `address`,
+`receive(max_bytes)`, `send(address, data)` and `close()`: a send never waits, and a datagram that
+cannot be sent is lost, as any datagram may be.
 
-The names of the real network are here. The network in memory is `mothnotch.net.memory`; it is not
-imported here, so that a root on the platform does not load it.
+This package exports the network of real sockets. The in-memory network, `mothnotch.net.memory`, is
+not imported here, so that a root in production does not load it.
 """
 
 from mothnotch.net.addresses import AddressError, parse_address
--- a/mothnotch/net/addresses.py
+++ b/mothnotch/net/addresses.py
@@ -1,10 +1,10 @@
-"""Reads addresses: `host:port`, `[v6]:port` or `unix:/path`."""
+"""Parser of addresses: `host:port`, `[v6]:port` or `unix:/path`."""
 
-_LARGEST_PORT = 65535
+_MAX_PORT = 65535
 
 
 class AddressError(ValueError):
-    """An address that cannot be read."""
+    """An address that cannot be parsed."""
 
 
 def parse_address(text: str) -> tuple:
@@ -12,6 +12,6 @@
     if text.startswith("unix:"):
         return "unix", text[5:]
     host, colon, port = text.rpartition(":")
-    if not colon or not port.isdigit() or int(port) > _LARGEST_PORT:
+    if not colon or not port.isdigit() or int(port) > _MAX_PORT:
         raise AddressError(f"address {text!r}: expected HOST:PORT or unix:/path")
     return "tcp", host.strip("[]"), int(port)
--- a/mothnotch/net/errors.py
+++ b/mothnotch/net/errors.py
@@ -1,16 +1,16 @@
-"""Which errors of streams and sockets mean what, and how long to wait before the next try."""
+"""Classification of stream and socket errors, and pauses before retries."""
 
 import errno
 
 import trio
 
-# How a stream reports that its connection is lost.
+# Exceptions that a stream raises when its connection is lost.
 CONNECTION_LOST_ERRORS = (OSError, trio.BrokenResourceError, trio.ClosedResourceError)
 
-# Errors by which Linux says that a call may succeed a moment later; the connection itself is sound.
+# Errors that Linux reports if a call may succeed shortly afterwards; the connection is intact.
 TRANSIENT_ERRNOS = frozenset((errno.EAGAIN, errno.EINTR, errno.ENOBUFS, errno.ENOMEM))
 
-# Errors of accept that concern the one connection that was to be accepted, not the next.
+# Errors of accept that concern only the connection that was to be accepted, not the next one.
 FAILED_CONNECTION_ERRNOS = frozenset(
     (
         errno.ECONNABORTED,
@@ -26,9 +26,9 @@
     )
 )
 
-# Pause after an accept that failed for want of descriptors or memory: without it the accept loop
-# would spin and take the processor from the connections that could free some.
+# Pause after an accept that failed for lack of descriptors or memory. Without it, the accept loop
+# would spin and take CPU time from the connections that could free some.
 ACCEPT_RETRY_PAUSE_S = 0.05
 
-# Pause before a call that failed with a transient error is made again: it must not spin either.
+# Pause before a retry of a call that failed with a transient error, so that it does not spin.
 RETRY_PAUSE_S = 0.005
--- a/mothnotch/net/line_output.py
+++ b/mothnotch/net/line_output.py
@@ -1,12 +1,12 @@
-"""Writes whole lines to a descriptor and never waits for whoever reads them.
+"""Non-blocking output of whole lines to a file descriptor.
 
-A root must not stop answering because a log collector hangs, so a line that the descriptor does not
-take now is dropped and counted. O_NONBLOCK would be set on the open file, which other processes may
-share; a pipe or terminal is therefore opened anew for each write, with a flag of its own. A regular
-file is written as it is: writes to it do not wait for a reader.
+A root must keep answering when a log collector hangs, so a line that cannot be written at once is
+dropped and counted. Setting O_NONBLOCK on the descriptor would affect the open file description,
+which other processes may share. A pipe or terminal is therefore reopened with O_NONBLOCK for each
+write. A regular file is written directly, as such writes do not wait for a reader.
 
-A line of which a part was written is finished before anything else is written. On a pipe that does
-not happen to lines of up to PIPE_BUF bytes.
+A line that was written in part is completed before anything else is written. On a pipe, lines of up
+to PIPE_BUF bytes are never split.
 """
 
 import functools
@@ -17,53 +17,53 @@
 import stat
 import sys
 
-# What a pipe takes as a whole or not at all, in bytes.
+# Maximum size of an atomic write to a pipe, in bytes.
 PIPE_BUF = select.PIPE_BUF
-# Text without a line end that a LineStream keeps, in bytes.
+# Maximum length of an unfinished line that a LineStream keeps, in characters.
 MAX_UNFINISHED_CHARS = 1 << 16
 
 
 class LineOutput:
-    """Lines to one descriptor. Bound: the rest of one line is kept, until it can be written."""
+    """Line output to one descriptor; buffers at most the rest of one line."""
 
     def __init__(self, descriptor: int | None, owner: io.IOBase | None = None):
-        """Write to a descriptor of the caller's; None, or one that is not open: drop all lines.
+        """Write to a descriptor that the caller owns; if it is None or not open, drop all lines.
 
-        `owner`: the stream whose it is. It is kept, and nothing is written once it is closed, as
-        the descriptor may be another file's then.
+        `owner`: the stream that owns the descriptor. A reference to it is kept, and nothing is
+        written once it is closed, as the descriptor may then belong to another file.
         """
         self.descriptor = descriptor
         self._owner = owner
-        # Lines dropped since one was last written.
+        # Number of lines dropped since the last one that was written.
         self.dropped = 0
         self._rest = b""
         try:
             mode = os.fstat(descriptor).st_mode if descriptor is not None else 0
         except OSError:
             mode = 0
-        self._write = _writer_of(mode)
+        self._write = _writer_for_mode(mode)
 
     def write(self, line: bytes) -> bool:
-        """Write a line, with its line end; return whether it is or will be written whole."""
-        written = self.finish_line() and self._take(line)
+        """Write a line including its newline; return whether it is or will be written in full."""
+        written = self.finish_line() and self._start_line(line)
         self.dropped = 0 if written else self.dropped + 1
         return written
 
     def finish_line(self) -> bool:
-        """Write the rest of a line that was written in part; return whether none is left."""
+        """Write the rest of a partly written line; return whether nothing is left."""
         if self._rest:
             self._rest = self._rest[self._write_some(self._rest) :]
         return not self._rest
 
-    def _take(self, line):
-        """Write a line behind a whole one; return whether any of it was written."""
+    def _start_line(self, line):
+        """Start a new line; return whether any of it was written."""
         count = self._write_some(line)
         if count:
             self._rest = line[count:]
         return count > 0
 
     def _write_some(self, data):
-        """Write what the descriptor takes now; return how many bytes that was."""
+        """Write as much as the descriptor accepts at once; return the number of bytes."""
         total = 0
         if self._owner is not None and self._owner.closed:
             return total
@@ -73,16 +73,16 @@
                 if count <= 0:
                     break
                 total += count
-        except OSError:  # it is full, the disk is full or fails, or nobody reads any more
+        except OSError:  # the pipe or disk is full, the disk fails, or the reader closed the pipe
             pass
         return total
 
 
 class LineStream(io.TextIOBase):
-    """A text stream over a LineOutput, to stand in for `sys.stderr`: no `print` to it waits."""
+    """A text stream over a LineOutput: as `sys.stderr`, it makes `print` non-blocking."""
 
     def __init__(self, output: LineOutput):
-        """Write to this output, line by line."""
+        """Write to `output`, line by line."""
         self._output = output
         self._unfinished = ""
 
@@ -97,7 +97,7 @@
         return self._output.descriptor
 
     def write(self, text: str) -> int:
-        """Write the lines that the text ends; keep the rest until its line end comes."""
+        """Write the completed lines; keep the rest until its newline is written."""
         *lines, self._unfinished = (self._unfinished + text).split("\n")
         for line in lines:
             self._output.write(f"{line}\n".encode(errors="backslashreplace"))
@@ -117,34 +117,35 @@
     return LineOutput(1 if sys.__stdout__ is not None else None)
 
 
-def _writer_of(mode):
-    """Return how a descriptor of this file mode is written without waiting."""
+def _writer_for_mode(mode):
+    """Return the function that writes to a descriptor of this file mode without blocking."""
     if stat.S_ISFIFO(mode) or stat.S_ISCHR(mode):
         return _write_reopened
     if stat.S_ISSOCK(mode):
         return _write_socket
     if stat.S_ISREG(mode):
         return os.write
-    return _write_nowhere
+    return _discard
 
 
 def _write_reopened(descriptor, data):
-    """Write through an open file of our own on the same pipe or terminal."""
+    """Write to the same pipe or terminal through a separate, non-blocking open file."""
     try:
-        own = os.open(
+        reopened = os.open(
             f"/proc/self/fd/{descriptor}", os.O_WRONLY | os.O_NONBLOCK | os.O_NOCTTY | os.O_CLOEXEC
         )
-    except OSError:  # no /proc, no permission, no descriptor left, or a pipe without a reader
+    except OSError:  # no /proc, no permission, no free descriptor, or a pipe without a reader
         return _write_if_ready(descriptor, data)
     try:
-        return os.write(own, data)
+        return os.write(reopened, data)
     finally:
-        os.close(own)
+        os.close(reopened)
 
 
 def _write_if_ready(descriptor, data):
-    """Write if the descriptor has room. Another writer may take that room just before: the only
-    case in which this waits.
+    """Write if the descriptor is ready.
+
+    This blocks only if another writer fills the pipe between the check and the write.
     """
     poll = select.poll()
     poll.register(descriptor, select.POLLOUT)
@@ -159,5 +160,5 @@
         sock.detach()
 
 
-def _write_nowhere(_descriptor, _data):
+def _discard(_descriptor, _data):
     return 0
--- a/mothnotch/net/read_first.py
+++ b/mothnotch/net/read_first.py
@@ -1,7 +1,7 @@
-"""Lets what has come be read before times that are due are looked at.
+"""Processing of received data before expired timers.
 
-A root that was held up, or not scheduled, finds both when it goes on: unread data and times that
-have passed. Its own lag must not end what a peer has done in time.
+After a stall of the process, there may be both unread data and expired timers. The data is read
+first, so that the root's own delay does not time out a peer that answered in time.
 """
 
 import trio
@@ -10,14 +10,14 @@
 
 
 async def let_connections_read(due_s: float) -> None:
-    """Return once every connection could read what has come by now.
+    """Return once every connection has had the chance to read the data received by now.
 
-    `due_s`: when the caller was due, on trio's clock; infinite if it was not woken by a time. The
-    first checkpoint looks at all sockets, as a wait whose time is over may end without a look. The
-    tasks of those that are readable run beside the caller, in any order, so that after a hold-up
-    it takes a second one until all have read.
+    `due_s`: when the caller's timer was due, on trio's clock; infinite if no timer woke it. The
+    first checkpoint polls all sockets, as a wait that ends by timeout may not have polled them. The
+    tasks of readable sockets run in the same pass as the caller, in any order, so after a stall a
+    second checkpoint is needed until all of them have read.
     """
-    began_s = min(due_s, trio.current_time())
+    start_s = min(due_s, trio.current_time())
     await trio.lowlevel.checkpoint()
-    if trio.current_time() - began_s > STALL_THRESHOLD_S:
+    if trio.current_time() - start_s > STALL_THRESHOLD_S:
         await trio.lowlevel.checkpoint()
--- a/mothnotch/net/serving.py
+++ b/mothnotch/net/serving.py
@@ -1,4 +1,4 @@
-"""Accepts connections and runs one task for each."""
+"""Accept loop that runs one task per connection."""
 
 from collections.abc import Callable
 
--- a/mothnotch/net/sockets.py
+++ b/mothnotch/net/sockets.py
@@ -1,4 +1,4 @@
-"""The network of real sockets: streams, listeners and when their data came."""
+"""Network of real sockets: streams, listeners and the arrival times of received data."""
 
 import contextlib
 import errno
@@ -14,8 +14,8 @@
 from mothnotch.net.datagrams import DatagramSocket
 from mothnotch.net.errors import RETRY_PAUSE_S, TRANSIENT_ERRNOS
 
-# Linux: a control message with the time at which a segment came, two longs. 35 is its number where
-# Python doesn't name it.
+# Linux socket option: a control message carries the time at which a segment arrived, as two longs.
+# 35 is its number where Python does not define it.
 _TIMESTAMP_OPTION = getattr(socket, "SO_TIMESTAMPNS", 35)
 _TIMESTAMP = struct.Struct("@ll")
 _ANCILLARY_BYTES = socket.CMSG_SPACE(_TIMESTAMP.size) if hasattr(socket, "CMSG_SPACE") else 0
@@ -27,25 +27,25 @@
 
 
 class Listener(trio.abc.Listener):
-    """Accepts one connection after another on a listening socket of trio's.
+    """Accepts connections on a listening trio socket.
 
-    A failed accept is raised at once, and never repeated in a tight loop.
+    A failed accept raises at once; it is never retried in a tight loop.
     """
 
     def __init__(self, sock):
-        """Take over a listening socket of trio's."""
+        """Take ownership of a listening trio socket."""
         self.socket = sock
-        # Since when connections may wait: the last end of a wait for one.
-        self._waiting_since_s = trio.current_time()
+        # Earliest time from which a connection may be pending: the end of the last wait for one.
+        self._pending_since_s = trio.current_time()
 
     async def accept(self) -> trio.SocketStream:
-        """Wait for a connection; raise ClosedResourceError if closed, OSError if it failed."""
+        """Wait for a connection; raise ClosedResourceError if closed, OSError on failure."""
         await trio.lowlevel.checkpoint_if_cancelled()
         while True:
             if self.socket.fileno() < 0:
                 raise trio.ClosedResourceError("listener was closed")
-            # Before any wait: in a wave of connections each costs one pass, and no wait for the
-            # socket to be reported readable.
+            # Accept before waiting: in a burst of connections, each costs one scheduler pass
+            # instead of an additional wait until the socket is reported readable.
             stream = self.accept_now()
             if stream is not None:
                 await trio.lowlevel.cancel_shielded_checkpoint()
@@ -53,10 +53,10 @@
             try:
                 await trio.lowlevel.wait_readable(self.socket._sock)
             finally:
-                self._waiting_since_s = trio.current_time()
+                self._pending_since_s = trio.current_time()
 
     def accept_now(self) -> trio.SocketStream | None:
-        """Return a connection that waits to be accepted, None if none does.
+        """Return a pending connection, None if there is none.
 
         Raise OSError if the accept failed.
         """
@@ -66,11 +66,11 @@
             return None
         sock.setblocking(False)
         stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
-        stream.pending_since_s = self._waiting_since_s  # read by `pending_since`
+        stream.pending_since_s = self._pending_since_s  # returned by `pending_since`
         return stream
 
     async def aclose(self) -> None:
-        """Close the socket; a waiting `accept` raises ClosedResourceError."""
+        """Close the socket; a blocked `accept` raises ClosedResourceError."""
         self.socket.close()
         await trio.lowlevel.checkpoint()
 
@@ -79,31 +79,30 @@
     """Real sockets, real time."""
 
     def __init__(self, threads: int = 2):
-        """`threads`: how many calls of `work` run at once."""
+        """`threads`: maximum number of concurrent `run_in_thread` calls."""
         self._limiter = trio.CapacityLimiter(threads)
-        # From the first prepared stream on.
+        # Created with the first configured stream.
         self._arrival_clock = None
 
     def wall_time(self) -> float:
-        """Return the wall clock's reading, in seconds."""
+        """Return the wall-clock time, in seconds."""
         return time.time()
 
     async def open(self, address: str, source: str | None = None):
-        """Return a connected stream, from the host `source` if one is named.
+        """Return a connected stream, bound to the local address `source` if given.
 
-        Raise OSError if none can be had, also if the address cannot be used. The caller bounds the
-        wait.
+        Raise OSError if the connect fails or the address is invalid. The caller sets the timeout.
         """
         try:
             kind, *rest = parse_address(address)
             if kind == "unix":
                 return await trio.open_unix_socket(rest[0])
             return await trio.open_tcp_stream(*rest, local_address=source)
-        except ValueError as error:  # also UnicodeError, of a name that cannot be one of a host
+        except ValueError as error:  # includes UnicodeError for an invalid host name
             raise OSError(errno.EINVAL, f"address {address!r} cannot be used: {error}") from error
 
     async def listen(self, address: str, backlog: int = 1024) -> list[Listener]:
-        """Return listeners, each with `accept`; port 0 picks one.
+        """Return the listeners of an address; port 0 selects a free port.
 
         Raise AddressError or OSError if the address cannot be used.
         """
@@ -115,13 +114,13 @@
             return [Listener(sock)]
         found = await trio.open_tcp_listeners(rest[1], host=rest[0], backlog=backlog)
         for listener in found:
-            # Accepted connections inherit it and have it from their first byte on; set on them
-            # alone, it came after their first data.
+            # Accepted connections inherit the option, so it covers their first bytes. If it were
+            # set after the accept, their first data could already have arrived.
             _set_option(listener.socket, socket.SOL_SOCKET, _TIMESTAMP_OPTION)
         return [Listener(listener.socket) for listener in found]
 
     async def bind_datagrams(self, address: str) -> DatagramSocket:
-        """Return datagrams at an address, host:port, over IPv4; port 0 picks one.
+        """Return a UDP socket over IPv4 at host:port; port 0 selects a free port.
 
         Raise AddressError or OSError if the address cannot be used.
         """
@@ -137,40 +136,39 @@
         return DatagramSocket(sock)
 
     def bound_address(self, listener: Listener) -> str:
-        """Return the address that a listener really has."""
+        """Return the address that a listener is bound to."""
         found = listener.socket.getsockname()
         return f"unix:{found}" if isinstance(found, str) else f"{found[0]}:{found[1]}"
 
     async def run_in_thread(self, function: Callable, *args):
-        """Return what a long computation returns, run in a thread, a few at a time.
+        """Run a long computation in a worker thread and return its result.
 
-        A cancelled caller leaves the thread to itself.
+        If the caller is cancelled, the thread runs on and its result is dropped.
         """
         return await trio.to_thread.run_sync(
             function, *args, limiter=self._limiter, abandon_on_cancel=True
         )
 
     def configure_stream(self, stream) -> None:
-        """Make a stream ready for `receive`: data is stamped, small writes aren't delayed."""
+        """Enable receive timestamps on a stream and disable Nagle's algorithm."""
         if self._arrival_clock is None:
             self._arrival_clock = ArrivalClock()
             trio.lowlevel.add_instrument(self._arrival_clock)
         _set_option(stream.socket, socket.IPPROTO_TCP, socket.TCP_NODELAY)
         _set_option(stream.socket, socket.SOL_SOCKET, _TIMESTAMP_OPTION)
 
-    async def receive(self, stream, most: int) -> tuple[bytes, float]:
-        """Wait for data; return at most `most` bytes, b"" at the end, and when they came.
+    async def receive(self, stream, max_bytes: int) -> tuple[bytes, float]:
+        """Wait for data; return at most `max_bytes`, b"" at EOF, and their arrival time.
 
-        The time is the one on trio's clock, in seconds, at which the kernel had the last of them. A
-        root that was busy or throttled reads late; what it believes of its leaves must not include
-        that.
+        The time is when the kernel received the last of them, in seconds on trio's clock. A busy or
+        throttled root reads late; that delay must not count as latency of its leaves.
         """
         sock = stream.socket._sock
         while True:
-            # Always: one read a pass, so that no peer delays the others.
+            # Always wait: one read per scheduler pass, so that no peer delays the others.
             await trio.lowlevel.wait_readable(sock)
             try:
-                data, ancillary, _, _ = sock.recvmsg(most, _ANCILLARY_BYTES)
+                data, ancillary, _, _ = sock.recvmsg(max_bytes, _ANCILLARY_BYTES)
             except OSError as error:
                 if error.errno not in TRANSIENT_ERRNOS:
                     raise
@@ -185,43 +183,43 @@
                 return data, clock.arrival(seconds + nanos / 1e9, now_s)
             return data, now_s
 
-    def receive_now(self, stream, most: int) -> bytes | None:
-        """Return what a socket holds at this instant, `most` bytes at most; b"" at its end.
+    def receive_now(self, stream, max_bytes: int) -> bytes | None:
+        """Return at most `max_bytes` of the data available now, b"" at EOF.
 
-        Return None if there is nothing, or nothing can be had for a moment.
+        Return None if there is none, or after a transient error.
         """
         try:
-            return stream.socket._sock.recv(most)
+            return stream.socket._sock.recv(max_bytes)
         except OSError as error:
             if error.errno in TRANSIENT_ERRNOS:
                 return None
             raise
 
     def accept_now(self, listener: Listener) -> trio.SocketStream | None:
-        """Return a connection that waits to be accepted, None if none does.
+        """Return a pending connection, None if there is none.
 
         Raise OSError if the accept failed.
         """
         return listener.accept_now()
 
     def max_unread_age_s(self) -> float:
-        """Return for how many seconds something may have lain unread on a prepared stream."""
+        """Return for how many seconds, at most, data on a configured stream may be unread."""
         return 0.0 if self._arrival_clock is None else self._arrival_clock.max_unread_age_s()
 
     def earliest_arrival(self, last_s: float) -> float:
-        """Return when the first of some data came at the earliest, whose last came at `last_s`."""
+        """Return the earliest arrival time of data whose last byte arrived at `last_s`."""
         return (
             last_s if self._arrival_clock is None else self._arrival_clock.earliest_arrival(last_s)
         )
 
     def pending_since(self, stream: trio.SocketStream) -> float:
-        """Return since when an accepted connection may have waited, and data on it with it."""
+        """Return the earliest time at which an accepted connection may have become pending."""
         return stream.pending_since_s
 
     def peer_disconnected(self, stream) -> bool:
-        """Return whether the peer ended or reset the connection and nothing of it lies unread.
+        """Return, without waiting, whether the peer closed or reset the connection.
 
-        Seen without waiting.
+        Unread data must be read first: until then this returns False for a closed connection.
         """
         try:
             return stream.socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT) == b""
@@ -229,14 +227,14 @@
             return error.errno not in TRANSIENT_ERRNOS
 
     def send_eof_now(self, stream) -> None:
-        """End the sending direction, at once; what comes is still read."""
+        """Close the sending direction at once; the stream can still receive."""
         stream.socket.shutdown(socket.SHUT_WR)
 
     def send_now(self, stream, data: bytes) -> int:
-        """Send what the socket takes at once; return how many bytes that was.
+        """Send as much as the socket accepts at once; return the number of bytes.
 
-        Not while a `send_all` runs: trio has no call that sends without a checkpoint, so this goes
-        past trio's lock.
+        Must not be called during a `send_all`: trio has no send without a checkpoint, so this
+        bypasses trio's lock.
         """
         try:
             return stream.socket._sock.send(data)
@@ -246,9 +244,9 @@
             raise
 
     def is_stale(self, stream) -> bool:
-        """Return whether an idle stream was closed by its peer, or holds bytes nobody asked for.
+        """Return, without waiting, whether an idle stream is unusable.
 
-        Seen without waiting.
+        It is if the peer closed it or sent unsolicited data.
         """
         try:
             stream.socket._sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
@@ -260,9 +258,9 @@
 
 
 def _set_option(sock, level, option):
-    """Set an option that may be missing: on a Unix socket, or in a kernel without it.
+    """Set an option; ignore that it is unsupported, as on a Unix socket or by an older kernel.
 
-    Without stamps, the time of the read counts.
+    Without kernel timestamps, the time of the read is used.
     """
     with contextlib.suppress(OSError):
         sock.setsockopt(level, option, 1)
--- a/mothnotch/net/write_buffer.py
+++ b/mothnotch/net/write_buffer.py
@@ -1,7 +1,7 @@
-"""Writes to a stream without waiting: what the socket doesn't take at once is sent by a task.
+"""Non-blocking writes to a stream: a task sends what the socket does not accept at once.
 
-A base for connections of any kind, which say by its hooks what follows. What may wait unsent is
-bounded by whoever sends: one answer, or the calls that a connection carries.
+`BufferedWriter` is the base class of all kinds of connections, which override its hooks. The caller
+limits the unsent data: to one answer, or to the calls that a connection carries.
 """
 
 import trio
@@ -10,16 +10,16 @@
 
 
 class BufferedWriter:
-    """One direction of a connection.
+    """The sending direction of a connection.
 
-    `unsent`: bytes that the socket has not taken yet; `sending`: a task waits to send them, also if
-    they were revoked meanwhile; `dead`: nothing is sent any more.
+    `unsent`: bytes that the socket has not accepted yet; `sending`: whether a task is waiting to
+    send them, even if they have been revoked since; `dead`: whether the connection is closed.
     """
 
     __slots__ = ("network", "nursery", "stream", "unsent", "sending", "dead")
 
     def __init__(self, network, nursery: trio.Nursery, stream):
-        """Write to `stream`, of that network; tasks that send the rest run in the nursery."""
+        """Write to a stream of `network`; tasks that send buffered data run in `nursery`."""
         self.network = network
         self.nursery = nursery
         self.stream = stream
@@ -28,7 +28,7 @@
         self.dead = False
 
     def send(self, data: bytes) -> None:
-        """Send what the socket takes at once; a task sends the rest, if any."""
+        """Send as much as the socket accepts at once; a task sends the rest, if any."""
         if self.sending:
             self.unsent += data
             return
@@ -45,7 +45,7 @@
             self.nursery.start_soon(self._send_unsent)
 
     async def _send_unsent(self):
-        """Send what waits, as the socket takes it, until none is left or it is revoked."""
+        """Send the buffered data until none is left or it is revoked."""
         try:
             while self.unsent and not self.dead:
                 await self.stream.wait_send_all_might_not_block()
@@ -57,7 +57,7 @@
                 del self.unsent[:written]
                 self.on_bytes_written(written, at_s)
                 if not written and self.unsent:
-                    # Writable, and yet nothing is taken: memory is short for a moment.
+                    # The socket is writable and yet accepts nothing: memory is short for a moment.
                     await trio.sleep(RETRY_PAUSE_S)
         except CONNECTION_LOST_ERRORS:
             self.on_connection_lost()
@@ -65,24 +65,25 @@
         if not self.dead:
             self.on_write_drained()
 
-    # ---- hooks for a kind of connection ----
+    # ---- hooks for subclasses ----
 
     def on_bytes_written(self, count: int, at_s: float) -> None:
-        """Note that the socket took so many bytes more.
+        """Handle that the socket accepted `count` more bytes.
 
-        `at_s`: just before it did. The peer may have them from then on, however late this is noted.
+        `at_s`: the time just before the send, from which the peer may have received them, even if
+        this call is delayed.
         """
 
     def revoke_unsent(self) -> bool:
-        """Return whether waiting bytes may not be sent any more, and have been dealt with.
+        """Return whether the buffered bytes must not be sent, and were handled otherwise.
 
-        Called before each send of bytes that had to wait.
+        Called before each send of buffered bytes.
         """
         return False
 
     def on_write_drained(self) -> None:
-        """Note that bytes had to wait, and all of them are sent."""
+        """Handle that all buffered bytes have been sent."""
 
     def on_connection_lost(self) -> None:
-        """Clean up: the connection is lost."""
+        """Handle the loss of the connection; must be overridden."""
         raise NotImplementedError
