--- a/mothnotch/bench.py
+++ b/mothnotch/bench.py
@@ -27,7 +27,7 @@
     "WHERE stock.bin >= $1 AND stock.bin < $2"
 )
 FULL_QUERY = "SELECT count(*), sum(qty) FROM stock WHERE bin < 800"
-INT4 = 23
+INT4_OID = 23
 
 
 def percentile_ms(times, fraction):
@@ -79,7 +79,7 @@
         self.writer.write(
             wire.statement(
                 f"/*mothnotch range={shard}*/ {PART_QUERY}",
-                (INT4, INT4),
+                (INT4_OID, INT4_OID),
                 (str(low).encode(), str(high).encode()),
             )
             + wire.SYNC
@@ -139,7 +139,7 @@
 async def query_one_part(client):
     """Query the part of shard 0 from a leaf."""
     await client.send(
-        wire.statement(f"/*mothnotch range=0*/ {PART_QUERY}", (INT4, INT4), (b"0", b"100"))
+        wire.statement(f"/*mothnotch range=0*/ {PART_QUERY}", (INT4_OID, INT4_OID), (b"0", b"100"))
         + wire.SYNC
     )
     assert (await client.reply()).error is None
--- a/mothnotch/cli/bad_day.py
+++ b/mothnotch/cli/bad_day.py
@@ -23,7 +23,7 @@
     bench_day: Path | None = None,
     seconds: float = 20.0,
 ) -> scripts.Script:
-    """Return the day of the bench day file, of the drawn seed, of the script, or the default.
+    """Return the day in the bench day file, drawn from the seed, in the script, or the default.
 
     Exit with status 2 if a file is invalid.
     """
--- a/mothnotch/cli/fleet_day.py
+++ b/mothnotch/cli/fleet_day.py
@@ -5,7 +5,7 @@
 
 import msgspec
 
-from mothnotch.audit import peers as beliefs
+from mothnotch.audit import peers as peer_audit
 from mothnotch.audit.rules import Verdict, judge, service
 from mothnotch.badday import fleet
 from mothnotch.badday import script as scripts
@@ -35,7 +35,7 @@
         exit_with_errors(error.errors)
     if script.peers is None:
         exit_with_errors(
-            [f"{day}: peers: not set; " "bin/mothnotch badday plays days of roots without peers"]
+            [f"{day}: peers: not set; bin/mothnotch badday plays days of roots without peers"]
         )
     return script
 
@@ -76,14 +76,14 @@
     script = msgspec.structs.replace(script, breach=f"without_{without}" if without else breach)
     play = fleet.play_virtual if virtual else fleet.play_sockets
     record, views = play(script, seed)
-    verdicts = judge(record) + beliefs.judge(views)
+    verdicts = judge(record) + peer_audit.judge(views)
     defect_note = f", planted: {breach}" if breach else ""
     print(
         f"{day}, seed {seed}, {'virtual' if virtual else 'processes'}, {script.roots} roots, "
         f"{script.seconds:g} s, troubles: {trouble_kinds(script)}{defect_note}"
     )
     print_verdicts(verdicts, rule_width=40, max_breaches=MAX_BREACHES_PRINTED)
-    figures = beliefs.figures(views)
+    figures = peer_audit.figures(views)
     served = service(record).get("all", 0.0)
     if json_file is not None:
         result = {
--- a/mothnotch/config/checks.py
+++ b/mothnotch/config/checks.py
@@ -10,7 +10,7 @@
 from mothnotch.sql.schema import TYPE_NAMES
 
 # The PostgreSQL type OIDs of int8, int2 and int4: range bounds are integers.
-INTEGER_TYPES = (20, 21, 23)
+INTEGER_TYPE_OIDS = (20, 21, 23)
 # With less memory, the merge of an answer could hold too few rows at a time.
 MIN_MEMORY_BYTES = 1 << 16
 
@@ -24,7 +24,7 @@
 
     _check_listen(config, report)
     if (config.roster is None) == (config.consul is None):
-        report("roster", "set either roster, a file, or consul")
+        report("roster", "set either roster (a file) or consul")
     _check_memory(config.memory, report)
     _check_discovery(config, report)
     if config.auth.method != "trust" and not config.auth.users:
@@ -90,7 +90,7 @@
 def _check_table(where: str, table: TableConfig, report: ErrorReporter) -> None:
     if table.shard_by not in table.columns:
         report(f"{where}.shard_by", f"{table.shard_by!r} is not one of the columns of the table")
-    elif TYPE_NAMES.get(table.columns[table.shard_by].lower()) not in INTEGER_TYPES:
+    elif TYPE_NAMES.get(table.columns[table.shard_by].lower()) not in INTEGER_TYPE_OIDS:
         report(f"{where}.shard_by", f"{table.shard_by!r} must be of an integer type")
     for column, kind in table.columns.items():
         if kind.lower() not in TYPE_NAMES:
--- a/mothnotch/config/sections.py
+++ b/mothnotch/config/sections.py
@@ -99,7 +99,7 @@
 
 
 class AuthConfig(Strict):
-    """Client authentication; `trust` means none, on loopback and unix addresses only."""
+    """Client authentication; `trust` performs none and is for loopback and unix addresses only."""
 
     method: Literal["trust", "scram-sha-256"] = "trust"
     users: dict[str, str] = {}
@@ -107,7 +107,11 @@
 
 
 class FrontConfig(Strict):
-    """Limits on client connections; `message_limit` is in bytes."""
+    """Limits on client connections; `message_limit` is in bytes.
+
+    `plans` is the number of cached query plans, `prepared` that of the prepared statements that a
+    session may keep.
+    """
 
     most_connections: int = 1000
     message_limit: int = 1 << 20
