--- a/benchmarks/node_cpu.py
+++ b/benchmarks/node_cpu.py
@@ -83,8 +83,8 @@
                 await trio.sleep_until(started + number / rate)
                 nursery.start_soon(send_query, number)
             await trio.sleep(1)
-            answered = sum(ask.final == "answered" for ask in world.record.asks)
-            pipe.send((len(world.record.asks), answered))
+            answered = sum(ask.outcome == "answered" for ask in world.record.queries)
+            pipe.send((len(world.record.queries), answered))
             nursery.cancel_scope.cancel()
 
     trio.run(main)
--- a/mothnotch/audit/news.py
+++ b/mothnotch/audit/catalogue_updates.py
@@ -22,7 +22,7 @@
     gone: deque = field(default_factory=deque)  # when leaves went, lately
 
 
-def told_by_catalogue(answers, shrink=0.3):
+def updates_from_catalogue(answers, shrink=0.3):
     """(at, leaf, state, root) of every change that a root was told, in order."""
     roots, out = defaultdict(Heard), []
     for told in sorted(answers, key=lambda told: told.at):
--- a/mothnotch/audit/breaches.py
+++ b/mothnotch/audit/defects.py
@@ -16,7 +16,7 @@
         ROOTS.get(name, lambda root: None)(root)
 
 
-def plant_leaves(name, day):
+def plant_in_leaves(name, day):
     if name == "keys_dropped":
         day.store.broken_keys = True
 
--- a/mothnotch/audit/rules.py
+++ b/mothnotch/audit/rules.py
@@ -12,40 +12,44 @@
 
 
 @dataclass(slots=True)
-class Ask:
+class QueryRecord:
     """One thing a client asked, and what it got. Times in seconds of one clock."""
 
     id: str
     root: int
-    kind: str  # class
-    writes: bool
-    at: float
-    limit_s: float  # the client's time
+    class_name: str
+    is_write: bool
+    started_at: float
+    timeout_s: float  # the client's time
     shards: tuple = ()  # ranges it needs
-    ended: float | None = None
-    final: str = ""  # answered, refused, failed, gone (the client left), lost (connection)
+    ended_at: float | None = None
+    outcome: str = ""  # answered, refused, failed, gone (the client left), lost (connection)
     sqlstate: str = ""
-    finals: int = 0  # answers that came
+    reply_count: int = 0  # answers that came
     value: tuple | None = None  # what was read
     expected: dict = field(default_factory=dict)  # range -> what that range alone gives
     missing: tuple | None = None  # ranges that the answer said are missing; None: it said nothing
-    surplus: int = 0  # bytes that came after the final answer
+    surplus_bytes: int = 0  # bytes that came after the final answer
 
 
 @dataclass(slots=True)
-class Record:
+class DayRecord:
     """A day, as clients and leaves saw it."""
 
-    asks: list = field(default_factory=list)
-    seen: list = field(default_factory=list)  # standins.leaf.Seen
-    told: list = field(default_factory=list)  # (time, leaf, state, root; None: all) of all news
-    effects: dict = field(default_factory=dict)  # id of a write -> rows found at the end
-    floors: dict = field(default_factory=dict)  # class -> least share
-    windows: dict = field(default_factory=dict)  # class -> seconds that repeats are dropped for
-    aims: dict = field(default_factory=dict)  # class -> seconds for full worth
-    worths: dict = field(default_factory=dict)
+    queries: list = field(default_factory=list)
+    leaf_events: list = field(default_factory=list)  # standins.leaf.Seen
+    endpoint_updates: list = field(
+        default_factory=list
+    )  # (time, leaf, state, root; None: all) of all news
+    effect_counts: dict = field(default_factory=dict)  # id of a write -> rows found at the end
+    min_answer_weights: dict = field(default_factory=dict)  # class -> least share
+    repeat_windows_s: dict = field(
+        default_factory=dict
+    )  # class -> seconds that repeats are dropped for
+    latency_objectives_s: dict = field(default_factory=dict)  # class -> seconds for full worth
+    priority_weights: dict = field(default_factory=dict)
     rules: RuleFigures | None = None
-    grace_s: float = 0.25  # of a drain
+    drain_grace_s: float = 0.25  # of a drain
     slack_s: float = 0.0  # what the machine may add to a time
 
 
@@ -53,10 +57,10 @@
 class Verdict:
     rule: str
     checked: int
-    breaches: list
+    violations: list
 
 
-def id_of(seen):
+def query_id_of(seen):
     """The client's id that a leaf saw among the bound values, or None."""
     for value in seen.values:
         if isinstance(value, str) and value.startswith("id:"):
@@ -66,9 +70,9 @@
 
 def arrivals(record):
     found = defaultdict(list)
-    for seen in record.seen:
+    for seen in record.leaf_events:
         if seen.what == "arrived":
-            key = id_of(seen)
+            key = query_id_of(seen)
             if key is not None:
                 found[key].append(seen)
     return found
@@ -77,24 +81,28 @@
 def one_answer(record):
     """1: one final answer within the client's time, and nothing sent to a leaf after it."""
     out, came = [], arrivals(record)
-    for ask in record.asks:
-        if ask.final == "gone":
-            end = ask.ended
-        elif ask.final in ("answered", "refused", "failed"):
-            end = ask.ended
-            if ask.finals != 1 or ask.surplus:
-                out.append(f"{ask.id}: {ask.finals} final answers, {ask.surplus} bytes after")
-            if end - ask.at > ask.limit_s + record.slack_s:
-                out.append(f"{ask.id}: answered after {end - ask.at:.3f} s of {ask.limit_s:.3f} s")
+    for ask in record.queries:
+        if ask.outcome == "gone":
+            end = ask.ended_at
+        elif ask.outcome in ("answered", "refused", "failed"):
+            end = ask.ended_at
+            if ask.reply_count != 1 or ask.surplus_bytes:
+                out.append(
+                    f"{ask.id}: {ask.reply_count} final answers, {ask.surplus_bytes} bytes after"
+                )
+            if end - ask.started_at > ask.timeout_s + record.slack_s:
+                out.append(
+                    f"{ask.id}: answered after {end - ask.started_at:.3f} s of {ask.timeout_s:.3f} s"
+                )
         else:
-            out.append(f"{ask.id}: no final answer ({ask.final or 'none'})")
+            out.append(f"{ask.id}: no final answer ({ask.outcome or 'none'})")
             continue
         for seen in came.get(ask.id, ()):
             if seen.at > end + record.slack_s:
                 out.append(
                     f"{ask.id}: sent to {seen.leaf} {seen.at - end:.3f} s after its final answer"
                 )
-    return Verdict("1 one final answer in time", len(record.asks), out)
+    return Verdict("1 one final answer in time", len(record.queries), out)
 
 
 def no_effect_twice(record):
@@ -103,22 +111,22 @@
     """
     out, came, checked = [], arrivals(record), 0
     committed = defaultdict(list)
-    for seen in record.seen:
-        if seen.what == "commit" and id_of(seen) is not None:
-            committed[id_of(seen)].append(seen.at)
-    for ask in record.asks:
-        if not ask.writes:
+    for seen in record.leaf_events:
+        if seen.what == "commit" and query_id_of(seen) is not None:
+            committed[query_id_of(seen)].append(seen.at)
+    for ask in record.queries:
+        if not ask.is_write:
             continue
         checked += 1
-        n = record.effects.get(ask.id, 0)
+        n = record.effect_counts.get(ask.id, 0)
         if n > 1:
             out.append(f"{ask.id}: took effect {n} times")
-        if ask.final == "answered" and n != 1:
+        if ask.outcome == "answered" and n != 1:
             out.append(f"{ask.id}: answered, and took effect {n} times")
-        if ask.final == "refused" and n:
+        if ask.outcome == "refused" and n:
             out.append(f"{ask.id}: refused as harmless to ask again, and took effect")
         times = sorted(seen.at for seen in came.get(ask.id, ()))
-        window = record.windows.get(ask.kind)
+        window = record.repeat_windows_s.get(ask.class_name)
         if (
             committed.get(ask.id)
             and window is not None
@@ -134,7 +142,7 @@
 def told_spans(record):
     """(leaf, root) -> [(time, state)] of what a root was told; root None: every root."""
     spans = defaultdict(list)
-    for at, leaf, state, root in record.told:
+    for at, leaf, state, root in record.endpoint_updates:
         spans[leaf, root].append((at, state))
     return spans
 
@@ -144,9 +152,9 @@
     gone.
     """
     spans, out, checked = told_spans(record), [], 0
-    roots = {ask.id: ask.root for ask in record.asks}
-    for seen in record.seen:
-        key = id_of(seen)
+    roots = {ask.id: ask.root for ask in record.queries}
+    for seen in record.leaf_events:
+        key = query_id_of(seen)
         if seen.what != "arrived" or key is None:
             continue
         told = spans.get((seen.leaf, roots.get(key))) or spans.get((seen.leaf, None))
@@ -159,7 +167,7 @@
             while n > 0 and told[n - 1][1] != "up":  # draining, then gone: told at the first
                 n -= 1
                 since = told[n][0]
-            if seen.at > since + record.grace_s + record.slack_s:
+            if seen.at > since + record.drain_grace_s + record.slack_s:
                 out.append(
                     f"{key}: sent to {seen.leaf} {seen.at - since:.3f} s after it was told {told[n][1]}"
                 )
@@ -172,10 +180,10 @@
     told of, until told that the leaf is up.
     """
     arrived = defaultdict(list)
-    roots = {ask.id: ask.root for ask in record.asks}
-    for seen in record.seen:
-        if seen.what == "arrived" and id_of(seen) in roots:
-            arrived[seen.leaf, roots[id_of(seen)]].append(seen.at)
+    roots = {ask.id: ask.root for ask in record.queries}
+    for seen in record.leaf_events:
+        if seen.what == "arrived" and query_id_of(seen) in roots:
+            arrived[seen.leaf, roots[query_id_of(seen)]].append(seen.at)
     out = []
     for (leaf, root), told in told_spans(record).items():
         times, since = arrived[leaf, root], None
@@ -199,13 +207,13 @@
 
 def none_pushed_over(record):
     """4: no cold leaf pushed over."""
-    starts = sum(seen.what == "up" for seen in record.seen)
+    starts = sum(seen.what == "up" for seen in record.leaf_events)
     return Verdict(
         "4 no cold leaf pushed over",
         starts,
         [
             f"{seen.leaf} fell over at {seen.at:.3f} s"
-            for seen in record.seen
+            for seen in record.leaf_events
             if seen.what == "fell"
         ],
     )
@@ -216,8 +224,8 @@
     class's least share.
     """
     out, checked = [], 0
-    for ask in record.asks:
-        if ask.final != "answered" or ask.writes or ask.value is None:
+    for ask in record.queries:
+        if ask.outcome != "answered" or ask.is_write or ask.value is None:
             continue
         checked += 1
         missing = ask.missing or ()
@@ -228,7 +236,7 @@
                 f"{ask.id}: {ask.value} where {len(rows)} of {len(ask.shards)} ranges give {expected}"
             )
         share = 1 - len(missing) / len(ask.shards)
-        if share < record.floors.get(ask.kind, 1.0) - 1e-6:
+        if share < record.min_answer_weights.get(ask.class_name, 1.0) - 1e-6:
             out.append(f"{ask.id}: answered from {share:.2f} of its worth")
     return Verdict("5 honest answers", checked, out)
 
@@ -238,12 +246,12 @@
     if record.rules is None or record.rules.retry_budget_ratio is None:
         return Verdict("6 attempts within the budget", 0, [])
     window, out, checked = record.rules.retry_budget_window_us / 1e6, [], 0
-    roots = {ask.id: ask.root for ask in record.asks}
+    roots = {ask.id: ask.root for ask in record.queries}
     taken, further, first = defaultdict(list), defaultdict(list), set()
-    for ask in record.asks:
-        taken[ask.root] += [ask.at] * (1 + len(ask.shards))
-    for seen in sorted((s for s in record.seen if s.what == "arrived"), key=lambda s: s.at):
-        key = id_of(seen)
+    for ask in record.queries:
+        taken[ask.root] += [ask.started_at] * (1 + len(ask.shards))
+    for seen in sorted((s for s in record.leaf_events if s.what == "arrived"), key=lambda s: s.at):
+        key = query_id_of(seen)
         if key is None or key not in roots:
             continue
         checked += 1
@@ -271,24 +279,26 @@
 RULES = (one_answer, no_effect_twice, drains_kept, none_pushed_over, honest, budget_kept)
 
 
-def judge(record):
+def evaluate_rules(record):
     """The six verdicts of a day."""
     return [rule(record) for rule in RULES]
 
 
-def service(record):
+def served_worth(record):
     """Worth answered within the aim over worth asked, by class and in all; clients that left are
     not counted.
     """
     asked, got = defaultdict(float), defaultdict(float)
-    for ask in record.asks:
-        if ask.final == "gone":
+    for ask in record.queries:
+        if ask.outcome == "gone":
             continue
-        worth = record.worths.get(ask.kind, 1.0)
-        for name in (ask.kind, "all"):
+        worth = record.priority_weights.get(ask.class_name, 1.0)
+        for name in (ask.class_name, "all"):
             asked[name] += worth
-            if ask.final == "answered" and ask.ended - ask.at <= record.aims.get(
-                ask.kind, ask.limit_s
+            if (
+                ask.outcome == "answered"
+                and ask.ended_at - ask.started_at
+                <= record.latency_objectives_s.get(ask.class_name, ask.timeout_s)
             ):
                 got[name] += worth * (1 - len(ask.missing or ()) / max(1, len(ask.shards)))
     return {name: got[name] / asked[name] for name in asked}
--- a/mothnotch/badday/fleet.py
+++ b/mothnotch/badday/fleet.py
@@ -22,11 +22,11 @@
 import trio
 
 from mothnotch import demo, logs, net
-from mothnotch.audit import breaches
-from mothnotch.audit.peers import PeersRecord, Told
-from mothnotch.audit.rules import id_of
+from mothnotch.audit import defects
+from mothnotch.audit.peers import PeersRecord, ViewSample
+from mothnotch.audit.rules import query_id_of
 from mothnotch.badday.links import LeafRelays, Link, Links, Relays
-from mothnotch.badday.play import Day, configuration, end_all, on_virtual_clock
+from mothnotch.badday.play import Day, configuration, on_virtual_clock, terminate_all
 from mothnotch.daemon import Root
 from mothnotch.net.memory import MemoryNetwork
 from mothnotch.peers import exchange
@@ -71,9 +71,9 @@
         period = script.peers.period_ms / 1000
         self.peers = PeersRecord(
             [f"r{n}" for n in range(script.roots)],
-            gone_s=script.peers.gone * period,
-            agree_s=script.peers.agree * period,
-            fact_s=script.peers.fact * period,
+            gone_bound_s=script.peers.gone * period,
+            agreement_bound_s=script.peers.agree * period,
+            fact_bound_s=script.peers.fact * period,
         )
         self.links = Links([root_host(n) for n in range(script.roots)], seed)
         self.codec, self.runner, self.look = Codec(FLEET, [KEY.encode()]), runner, 0
@@ -101,19 +101,19 @@
             )  # it was put back for the next ask while the root went
         held = [
             (a, b)
-            for n, a, b in (*self.peers.down, *self.peers.still)
+            for n, a, b in (*self.peers.down_intervals, *self.peers.paused_intervals)
             if n == ask.root and b > begun
         ]
         if (
             held
-            and ask.final in ("lost", "")
-            or ask.final == "lost"
+            and ask.outcome in ("lost", "")
+            or ask.outcome == "lost"
             and self.runner.lives[ask.root] != asked_of
         ):
-            ask.final = "gone"  # with its root: no root can answer for a dead one
-            ask.ended = float("inf")
-        elif held and ask.ended - ask.at > ask.limit_s:
-            ask.final = "gone"
+            ask.outcome = "gone"  # with its root: no root can answer for a dead one
+            ask.ended_at = float("inf")
+        elif held and ask.ended_at - ask.started_at > ask.timeout_s:
+            ask.outcome = "gone"
 
     # ---- troubles ----
 
@@ -151,7 +151,7 @@
         await self.without(t, self.runner.end)
 
     async def without(self, t, end):
-        ended = [self.mark(self.peers.down, n) for n in t.roots]
+        ended = [self.mark(self.peers.down_intervals, n) for n in t.roots]
         for n in t.roots:
             self.leave(n)
             await end(n)
@@ -162,7 +162,7 @@
             self.up[n] = True
 
     async def do_root_pause(self, t, names):
-        ended = [self.mark(self.peers.still, n) for n in t.roots]
+        ended = [self.mark(self.peers.paused_intervals, n) for n in t.roots]
         for n in t.roots:
             self.leave(n)
             self.runner.pause(n, t.lasts)
@@ -187,9 +187,9 @@
     async def on_links(self, t, both, **changes):
         found = self.affected(t, both)
         ended = (
-            [self.mark(self.peers.cut, *pair) for pair, _ in found]
+            [self.mark(self.peers.cut_intervals, *pair) for pair, _ in found]
             if "cut" in changes
-            else [self.mark(self.peers.worse)]
+            else [self.mark(self.peers.degraded_intervals)]
         )
         for _, link in found:
             for name, value in changes.items():
@@ -270,21 +270,21 @@
             except exchange.EXCHANGE_ERRORS:
                 continue
             if self.up[n] and self.runner.lives[n] == life:
-                self.peers.views.append(Told(n, asked, self.clock(), view))
+                self.peers.samples.append(ViewSample(n, asked, self.clock(), view))
 
     async def run_day(self, start_roots=None):
         await super().run_day(self.start_roots)
         # The rules are about what roots send: what a link held back counts from when it came there.
-        roots = {ask.id: ask.root for ask in self.record.asks}
-        for n, seen in enumerate(self.record.seen):
-            if seen.what == "arrived" and id_of(seen) in roots:
-                at = self.leaf_links.streams.sent((roots[id_of(seen)], seen.leaf), seen.at)
+        roots = {ask.id: ask.root for ask in self.record.queries}
+        for n, seen in enumerate(self.record.leaf_events):
+            if seen.what == "arrived" and query_id_of(seen) in roots:
+                at = self.leaf_links.streams.sent((roots[query_id_of(seen)], seen.leaf), seen.at)
                 if at != seen.at:
-                    self.record.seen[n] = dataclasses.replace(seen, at=at)
+                    self.record.leaf_events[n] = dataclasses.replace(seen, at=at)
         return self.record
 
     async def start_roots(self, day, life):
-        self.life, begun = life, self.mark(self.peers.worse)
+        self.life, begun = life, self.mark(self.peers.degraded_intervals)
         self.leaf_links = LeafRelays(
             self.network, self.script.roots, self.fleet.leaves, self.seed, "127.0.0.1"
         )
@@ -296,13 +296,13 @@
             life.start_soon(self.watch, n)
         self.tell()
         with trio.move_on_after(
-            self.peers.agree_s
+            self.peers.agreement_bound_s
         ):  # the day begins once they have found each other
             while not all(
                 any(
                     v.root == n
                     and sum(p.state == "alive" for p in v.view.peers) == self.script.roots - 1
-                    for v in self.peers.views
+                    for v in self.peers.samples
                 )
                 for n in range(self.script.roots)
             ):
@@ -368,7 +368,7 @@
             seed=self.day.seed * 100 + n,
             random=seeded.randbytes,
         )
-        breaches.plant(self.breach, root)
+        defects.plant(self.breach, root)
 
         async def life(task_status):
             with trio.CancelScope() as self.scopes[n]:
@@ -465,7 +465,7 @@
                 process.send_signal(
                     signal.SIGCONT
                 )  # one that stands still would not hear that it is to end
-        end_all(self.processes.values())
+        terminate_all(self.processes.values())
 
 
 def play_virtual(script, seed):
--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -18,9 +18,9 @@
 import trio.testing
 
 from mothnotch import demo, logs, net
-from mothnotch.audit import breaches
-from mothnotch.audit.news import told_by_catalogue
-from mothnotch.audit.rules import Ask, Record
+from mothnotch.audit import defects
+from mothnotch.audit.catalogue_updates import updates_from_catalogue
+from mothnotch.audit.rules import DayRecord, QueryRecord
 from mothnotch.badday.catalogue import CatalogueNews, CatalogueTroubles
 from mothnotch.daemon import Root
 from mothnotch.net.memory import MemoryNetwork
@@ -76,21 +76,24 @@
     def __init__(self, script, seed, network, slack_s):
         self.script, self.seed, self.network = script, seed, network
         self.random = random.Random(f"day {seed}")
-        self.record = Record(grace_s=script.drain_grace_ms / 1000, slack_s=slack_s)
+        self.record = DayRecord(drain_grace_s=script.drain_grace_ms / 1000, slack_s=slack_s)
         self.config = demo.config(
             **{k: v for k, v in configuration(script, 0, "roster.json5").items()}
         )
         c = self.config
         for name, kind in c.classes.items():
-            self.record.floors[name], self.record.aims[name] = kind.floor, kind.aim_ms / 1000
-            self.record.worths[name] = kind.worth
+            self.record.min_answer_weights[name], self.record.latency_objectives_s[name] = (
+                kind.floor,
+                kind.aim_ms / 1000,
+            )
+            self.record.priority_weights[name] = kind.worth
             if kind.repeat_window_ms:
-                self.record.windows[name] = kind.repeat_window_ms / 1000
+                self.record.repeat_windows_s[name] = kind.repeat_window_ms / 1000
         self.record.rules = c.settings().rules
         s = script.leaves
         self.store, self.leaves = demo.create_leaves(
             network,
-            self.record.seen.append,
+            self.record.leaf_events.append,
             seed=seed,
             rows=script.rows,
             cores=s.cores,
@@ -119,7 +122,7 @@
         now = trio.current_time()
         for name, state in self.fleet.states.items():
             if not self.told or self.told.get(name) != state:
-                self.record.told.append((now, name, state, None))
+                self.record.endpoint_updates.append((now, name, state, None))
                 self.told[name] = state
         text = demo.roster_text(self.fleet)
         if self.script.news_late_s and trio.current_time() > 0:
@@ -315,7 +318,7 @@
         try:
             root = self.pick()
             self.numbers += 1
-            ask = Ask(
+            ask = QueryRecord(
                 f"id:{mark}{self.numbers}",
                 root,
                 kind,
@@ -329,7 +332,7 @@
             await self.run(ask, client)
         finally:
             self.open -= 1
-        if ask.final == "refused" and tries < 3 and r.random() < self.retry:
+        if ask.outcome == "refused" and tries < 3 and r.random() < self.retry:
             await self.ask(kind, mark, tries + 1)
 
     def pick(self):
@@ -357,14 +360,14 @@
         give.
         """
         r = self.random
-        if ask.kind == "stock-search":
+        if ask.class_name == "stock-search":
             ask.shards = tuple(range(self.schema.shards))
             ask.expected = {
                 s: self.alone(s, "SELECT count(*), coalesce(sum(qty), 0) FROM stock")
                 for s in ask.shards
             }
             return SEARCH, (ask.id,)
-        if ask.kind == "hold-set":
+        if ask.class_name == "hold-set":
             bin = 7 if self.hot else r.randrange(demo.BIN_COUNT)
             ask.shards = (self.schema.shard_of(bin),)
             return HOLD, (bin, ask.id)
@@ -384,11 +387,11 @@
         r, load = self.random, self.script.load
         sql, values = self.prepare(ask)
         leaves, cancels = r.random() < load.leave, r.random() < load.cancel
-        patience, block = r.uniform(0.002, 0.05), ask.writes and r.random() < load.transactions
-        ask.at = trio.current_time()
-        self.record.asks.append(ask)
+        patience, block = r.uniform(0.002, 0.05), ask.is_write and r.random() < load.transactions
+        ask.started_at = trio.current_time()
+        self.record.queries.append(ask)
         try:
-            with trio.move_on_after(patience if leaves else ask.limit_s + 5) as scope:
+            with trio.move_on_after(patience if leaves else ask.timeout_s + 5) as scope:
                 async with trio.open_nursery() as nursery:
                     if cancels and not leaves:
                         nursery.start_soon(self.cancel_later, client, patience)
@@ -396,7 +399,9 @@
                         await client.query("BEGIN")
                         reply = await client.query(sql, *values)
                         if reply.error is None:
-                            ask.at = trio.current_time()  # the client's time runs from the COMMIT
+                            ask.started_at = (
+                                trio.current_time()
+                            )  # the client's time runs from the COMMIT
                             reply = await client.query("COMMIT")
                         else:
                             await client.query("ROLLBACK")
@@ -404,21 +409,21 @@
                         reply = await client.query(sql, *values)
                     nursery.cancel_scope.cancel()
         except* (ConnectionLostError, OSError):
-            ask.final = "lost"
-        ask.ended = trio.current_time()
-        if ask.final == "lost":
+            ask.outcome = "lost"
+        ask.ended_at = trio.current_time()
+        if ask.outcome == "lost":
             client.close()
             return
         if scope.cancelled_caught:
-            ask.final = "gone" if leaves else ""
+            ask.outcome = "gone" if leaves else ""
             client.close()
             return
         self.take(ask, reply)
-        ask.surplus = await client.surplus_bytes(0.03)
-        if ask.surplus:
+        ask.surplus_bytes = await client.surplus_bytes(0.03)
+        if ask.surplus_bytes:
             client.close()
         else:
-            self.idle.setdefault((ask.root, ask.kind), []).append(client)
+            self.idle.setdefault((ask.root, ask.class_name), []).append(client)
 
     async def cancel_later(self, client, seconds):
         await trio.sleep(seconds)
@@ -429,13 +434,13 @@
 
     def take(self, ask, reply):
         """What a reply says, by the documented table of SQLSTATEs."""
-        ask.finals = len(reply.tags) + (reply.error is not None)
+        ask.reply_count = len(reply.tags) + (reply.error is not None)
         if reply.error is not None:
             ask.sqlstate = reply.error.sqlstate
-            ask.final = "refused" if ask.sqlstate == "53000" else "failed"
+            ask.outcome = "refused" if ask.sqlstate == "53000" else "failed"
             return
-        ask.final = "answered"
-        if not ask.writes:
+        ask.outcome = "answered"
+        if not ask.is_write:
             ask.value = tuple(int(v) for v in reply.rows[0])
             for notice in reply.notices:
                 found = MISSING.search(notice.text)
@@ -464,10 +469,10 @@
                     client.close()
             life.cancel_scope.cancel()
         if self.news is not None:
-            self.record.told = told_by_catalogue(self.news.answers)
+            self.record.endpoint_updates = updates_from_catalogue(self.news.answers)
         for db in self.store.ranges:
             for order_id, n in db.execute("SELECT order_id, count(*) FROM holds GROUP BY order_id"):
-                self.record.effects[order_id] = self.record.effects.get(order_id, 0) + n
+                self.record.effect_counts[order_id] = self.record.effect_counts.get(order_id, 0) + n
         return self.record
 
 
@@ -489,7 +494,7 @@
             seed=day.seed * 100 + me,
             random=seeded.randbytes,
         )
-        breaches.plant(day.script.breach, root)
+        defects.plant(day.script.breach, root)
         await life.start(root.run)
         day.addresses.append(root.addresses[0])
     day.tell()
@@ -503,7 +508,7 @@
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-def end_all(processes):
+def terminate_all(processes):
     """Ends processes that were started here: all are asked, and after 5 s each is killed."""
     for process in processes:
         process.terminate()
@@ -521,7 +526,7 @@
 
     async def main():
         day = Day(script, seed, network, slack_s=0.0)
-        breaches.plant_leaves(script.breach, day)
+        defects.plant_in_leaves(script.breach, day)
         return await day.run_day(roots_in_memory)
 
     return on_virtual_clock(main, seed)
@@ -566,20 +571,20 @@
     async def main(folder):
         day = Day(script, seed, net.SocketNetwork(), slack_s)
         day.folder = folder
-        breaches.plant_leaves(script.breach, day)
+        defects.plant_in_leaves(script.breach, day)
         return await day.run_day(roots)
 
     with tempfile.TemporaryDirectory(prefix="mothnotch-") as folder:
         try:
             return trio.run(main, folder)
         finally:
-            end_all(processes)
+            terminate_all(processes)
 
 
 def transcript(record):
     """Every ask and everything the leaves saw, as lines: two runs of a seed must give the same."""
     lines = [
-        f"{a.at:.6f} {a.id} root={a.root} {a.kind} {a.final} {a.sqlstate} {a.ended or 0:.6f} {a.value} {a.missing}"
-        for a in record.asks
+        f"{a.started_at:.6f} {a.id} root={a.root} {a.class_name} {a.outcome} {a.sqlstate} {a.ended_at or 0:.6f} {a.value} {a.missing}"
+        for a in record.queries
     ]
-    return lines + [f"{s.at:.6f} {s.leaf} {s.what} {s.text} {s.values}" for s in record.seen]
+    return lines + [f"{s.at:.6f} {s.leaf} {s.what} {s.text} {s.values}" for s in record.leaf_events]
--- a/mothnotch/badday/root.py
+++ b/mothnotch/badday/root.py
@@ -12,7 +12,7 @@
 import trio
 
 from mothnotch import logs, net
-from mothnotch.audit import breaches
+from mothnotch.audit import defects
 from mothnotch.badday.fleet import chatter
 from mothnotch.config import load
 from mothnotch.daemon import Root, cpu_time
@@ -29,7 +29,7 @@
     parent = os.getppid()
     config, network = load(path), net.SocketNetwork()
     root = Root(config, network, logs.logger("json", config.log.level), cpu=cpu_time)
-    breaches.plant(breach, root)
+    defects.plant(breach, root)
     async with trio.open_nursery() as nursery:
         with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
             await nursery.start(root.run)
--- a/mothnotch/badday/script.py
+++ b/mothnotch/badday/script.py
@@ -7,7 +7,7 @@
 
 from mothnotch.config import ConfigError, Strict, decode
 
-KINDS = (
+FAULT_KINDS = (
     "crash",
     "vanish",
     "hang",
@@ -27,9 +27,9 @@
 )
 
 
-MORE_KINDS = ("replace",)  # not drawn: the drawn days stay as they are
+EXTRA_FAULT_KINDS = ("replace",)  # not drawn: the drawn days stay as they are
 # Troubles of the catalogue, for days with `consul`.
-CONSUL_KINDS = (
+CONSUL_FAULT_KINDS = (
     "consul_slow",
     "consul_silent",
     "consul_errors",
@@ -45,7 +45,7 @@
 
 # Troubles of the roots, of the links between them, and of theirs to `leaves`, for days with
 # `peers`. `roots` names the roots, `to` whom they reach.
-FLEET_KINDS = (
+FLEET_FAULT_KINDS = (
     "root_kill",
     "root_restart",
     "root_pause",
@@ -61,7 +61,7 @@
 )
 
 
-class PeersScript(Strict):
+class PeersSpec(Strict):
     """Roots speak with one another. The bounds are in periods: by when one that is dead is held for
     gone by all, by when all agree once nothing is wrong any more, by when all know a fact that is
     stated anew each second.
@@ -73,7 +73,7 @@
     fact: float = 25.0
 
 
-class ConsulScript(Strict):
+class ConsulSpec(Strict):
     """The roster comes from a stand-in Consul of so many agents, of which a root watches `follow`."""
 
     agents: int = 3
@@ -81,7 +81,7 @@
     wait_s: float = 5.0
 
 
-class TroubleScript(Strict):
+class FaultSpec(Strict):
     """One trouble. `leaves`: names, or how many of them; `factor`: of slowness or load; `share`: of
     failures.
     """
@@ -97,7 +97,7 @@
     ms: float = 0.0  # of links: delay, and as much again of jitter
 
 
-class Load(Strict):
+class LoadSpec(Strict):
     rate: float = 40.0  # asks a second, all clients together, open loop
     clients: int = 64  # connections at most
     mix: dict[str, float] = msgspec.field(
@@ -110,7 +110,7 @@
     timeout_ms: float = 1500.0  # the client's time
 
 
-class LeavesScript(Strict):
+class LeavesSpec(Strict):
     count: int = 8
     cores: int = 2
     work_ms: float = 4.0
@@ -121,19 +121,19 @@
     fresh: bool = False  # all have only just started as the day begins
 
 
-class Script(Strict):
+class Scenario(Strict):
     seconds: float = 10.0
     roots: int = 2
     rows: int = 20  # of stock in a range
-    load: Load = Load()
-    leaves: LeavesScript = LeavesScript()
+    load: LoadSpec = LoadSpec()
+    leaves: LeavesSpec = LeavesSpec()
     budget_share: float | None = 0.2
     budget_free: int = 10
     budget_window_s: float = 5.0
     drain_grace_ms: float = 250.0
     news_late_s: float = 0.0  # the roster is told to roots so late
-    consul: ConsulScript | None = None
-    troubles: list[TroubleScript] = []
+    consul: ConsulSpec | None = None
+    troubles: list[FaultSpec] = []
     breach: Literal[
         "",
         "late_sends",
@@ -152,24 +152,24 @@
         "without_health",
         "without_streams",
     ] = ""
-    peers: PeersScript | None = None
+    peers: PeersSpec | None = None
 
 
 def load(text, path="script"):
     """The checked script of a JSON5 text."""
-    script = decode(text, Script, path)
+    script = decode(text, Scenario, path)
     errors = []
     for n, trouble in enumerate(script.troubles):
         where = f"{path}: troubles[{n}]"
         kinds = (
-            KINDS
-            + MORE_KINDS
-            + (CONSUL_KINDS if script.consul is not None else ())
-            + (FLEET_KINDS if script.peers is not None else ())
+            FAULT_KINDS
+            + EXTRA_FAULT_KINDS
+            + (CONSUL_FAULT_KINDS if script.consul is not None else ())
+            + (FLEET_FAULT_KINDS if script.peers is not None else ())
         )
         if any(not 0 <= n < script.roots for n in [*trouble.roots, *(trouble.to or ())]):
             errors.append(f"{where}.roots: there are roots 0 to {script.roots - 1}")
-        if trouble.kind in FLEET_KINDS and not trouble.roots:
+        if trouble.kind in FLEET_FAULT_KINDS and not trouble.roots:
             errors.append(f"{where}.roots: names none")
         if trouble.kind not in kinds:
             errors.append(f"{where}.kind: {trouble.kind!r} is not one of {', '.join(kinds)}")
@@ -191,14 +191,14 @@
     return script
 
 
-def drawn(seed, seconds=3.0, rate=22.0, troubles=4):
+def random_scenario(seed, seconds=3.0, rate=22.0, troubles=4):
     """A random script: so many overlapping troubles of different kinds."""
     r = random.Random(f"bad day {seed}")
     found = []
-    for kind in r.sample(KINDS, troubles):
+    for kind in r.sample(FAULT_KINDS, troubles):
         at = r.uniform(0.2, seconds * 0.6)
         found.append(
-            TroubleScript(
+            FaultSpec(
                 kind,
                 round(at, 3),
                 round(r.uniform(0.3, seconds - at), 3),
@@ -208,11 +208,11 @@
             )
         )
     budget = r.random() < 0.7
-    return Script(
+    return Scenario(
         seconds,
         r.choice([1, 2, 3]),
         8,
-        Load(
+        LoadSpec(
             rate=rate,
             transactions=0.5,
             leave=0.04,
@@ -220,7 +220,7 @@
             retry=0.1,
             timeout_ms=r.choice([600.0, 1000.0, 1500.0]),
         ),
-        LeavesScript(),
+        LeavesSpec(),
         0.2 if budget else None,
         10,
         2.0,
@@ -231,7 +231,7 @@
     )
 
 
-def drawn_departures(seed, seconds=4.0, rate=30.0):
+def random_departures(seed, seconds=4.0, rate=30.0):
     """A random day with a catalogue: leaves that depart by whatever means, troubles of the agents,
     of health checks and of the leaves themselves, all at once.
     """
@@ -239,7 +239,7 @@
 
     def trouble(kind, leaves=1, factor=None, last=seconds * 0.7):
         at = r.uniform(0.3, last)
-        return TroubleScript(
+        return FaultSpec(
             kind,
             round(at, 3),
             round(r.uniform(0.3, seconds - at), 3),
@@ -250,7 +250,7 @@
 
     agents = r.choice([1, 2, 3])
     found = [trouble("depart", r.choice([1, 1, 1, 2, 4])) for _ in range(2)]
-    found += [trouble(kind, r.randint(1, agents)) for kind in r.sample(CONSUL_KINDS[:8], 2)]
+    found += [trouble(kind, r.randint(1, agents)) for kind in r.sample(CONSUL_FAULT_KINDS[:8], 2)]
     found += [trouble("health_flapping", 1)] if r.random() < 0.5 else []
     found += [
         trouble(
@@ -259,24 +259,24 @@
             r.uniform(2, 6),
         )
     ]
-    return Script(
+    return Scenario(
         seconds,
         r.choice([1, 2, 3]),
         8,
-        Load(rate=rate, transactions=0.4, timeout_ms=r.choice([1000.0, 1500.0])),
-        LeavesScript(),
+        LoadSpec(rate=rate, transactions=0.4, timeout_ms=r.choice([1000.0, 1500.0])),
+        LeavesSpec(),
         0.2,
         10,
         2.0,
         250.0,
         0.0,
-        ConsulScript(agents, r.randint(1, min(2, agents)), 2.0),
+        ConsulSpec(agents, r.randint(1, min(2, agents)), 2.0),
         found,
     )
 
 
 # Kinds of trouble of a bench day, as a socket can show them: (kind here, what `size` is).
-BENCH_KINDS = {
+BENCH_FAULT_KINDS = {
     "crash": ("crash", "leaves"),
     "vanish": ("vanish", "leaves"),
     "hang": ("hang", "leaves"),
@@ -302,24 +302,24 @@
 }
 
 
-def of_bench_day(raw, seconds=20.0, leaves=8):
+def scenario_from_bench_day(raw, seconds=20.0, leaves=8):
     """(script, notes) of a bench day file's troubles: the same kinds, in the same order and
     proportion of the day, over a day of `seconds` on the sample's leaves. Notes name what has no
     counterpart and was left out.
     """
     length, troubles, notes = raw["length"], [], []
     for n, t in enumerate(raw["troubles"]):
-        if t["kind"] not in BENCH_KINDS:
+        if t["kind"] not in BENCH_FAULT_KINDS:
             notes.append(f"troubles[{n}]: {t['kind']} cannot be shown over sockets here; left out")
             continue
-        kind, size = BENCH_KINDS[t["kind"]]
+        kind, size = BENCH_FAULT_KINDS[t["kind"]]
         at = max(0.1, seconds * t["at"] / length)
         if at >= seconds:
             notes.append(f"troubles[{n}]: {t['kind']} begins after the day's end; left out")
             continue
         lasts = min(seconds - at, max(0.3, seconds * t["len"] / length))
         share, extra = float(t.get("size") or 0), float(t.get("extra") or 0)
-        made = TroubleScript(kind, round(at, 3), round(lasts, 3))
+        made = FaultSpec(kind, round(at, 3), round(lasts, 3))
         if size == "leaves":
             made = msgspec.structs.replace(made, leaves=min(leaves, max(1, round(share * leaves))))
             if kind == "slow":
@@ -329,54 +329,54 @@
         elif size == "factor":
             made = msgspec.structs.replace(made, factor=min(4.0, max(1.1, share)))
         troubles.append(made)
-    return Script(
+    return Scenario(
         seconds=seconds, roots=min(3, max(1, len(raw.get("balancers", ())))), troubles=troubles
     ), notes
 
 
-DEFAULT = Script(
+DEFAULT = Scenario(
     seconds=20.0,
     roots=2,
-    load=Load(rate=40.0),
+    load=LoadSpec(rate=40.0),
     troubles=[
-        TroubleScript("slow", 1.0, 5.0, 1, 10.0),
-        TroubleScript("fast_errors", 2.0, 4.0, 1, share=0.8),
-        TroubleScript("hang", 3.0, 4.0, ["leaf-5"]),
-        TroubleScript("burst", 4.0, 3.0, 0, 2.0),
-        TroubleScript("crash", 6.0, 2.0, ["leaf-2"]),
-        TroubleScript("pauses", 7.0, 4.0, 2),
-        TroubleScript("deploy", 8.0, 6.0, 3),
-        TroubleScript("idle_reap", 10.0, 3.0, 8),
-        TroubleScript("flapping", 11.0, 4.0, ["leaf-7"]),
-        TroubleScript("retry_abuse", 12.0, 3.0),
-        TroubleScript("discovery_stale", 12.0, 3.0),
-        TroubleScript("poison", 14.0, 2.0),
-        TroubleScript("lost_answers", 13.0, 3.0, 8, share=0.3),
-        TroubleScript("shared_slow", 16.0, 2.0, 8, 2.0),
-        TroubleScript("vanish", 16.5, 2.0, ["leaf-1"]),
+        FaultSpec("slow", 1.0, 5.0, 1, 10.0),
+        FaultSpec("fast_errors", 2.0, 4.0, 1, share=0.8),
+        FaultSpec("hang", 3.0, 4.0, ["leaf-5"]),
+        FaultSpec("burst", 4.0, 3.0, 0, 2.0),
+        FaultSpec("crash", 6.0, 2.0, ["leaf-2"]),
+        FaultSpec("pauses", 7.0, 4.0, 2),
+        FaultSpec("deploy", 8.0, 6.0, 3),
+        FaultSpec("idle_reap", 10.0, 3.0, 8),
+        FaultSpec("flapping", 11.0, 4.0, ["leaf-7"]),
+        FaultSpec("retry_abuse", 12.0, 3.0),
+        FaultSpec("discovery_stale", 12.0, 3.0),
+        FaultSpec("poison", 14.0, 2.0),
+        FaultSpec("lost_answers", 13.0, 3.0, 8, share=0.3),
+        FaultSpec("shared_slow", 16.0, 2.0, 8, 2.0),
+        FaultSpec("vanish", 16.5, 2.0, ["leaf-1"]),
     ],
 )
 
 # Roots together: kills, pauses, one-way cuts, loss, and word of an old life that comes again
 # seconds after it ended.
-PEERS = Script(
+PEERS = Scenario(
     seconds=32.0,
     roots=4,
-    load=Load(rate=16.0),
-    peers=PeersScript(),
+    load=LoadSpec(rate=16.0),
+    peers=PeersSpec(),
     troubles=[
-        TroubleScript("root_kill", 3.0, 9.0, roots=[1]),
-        TroubleScript("link_loss", 4.0, 5.0, roots=[0, 1, 2, 3], share=0.2),
-        TroubleScript("leaf_cut", 6.0, 3.0, 2, roots=[3]),
-        TroubleScript("leaf_reset", 10.0, 2.0, 8, roots=[0]),
-        TroubleScript("leaf_oneway", 22.0, 3.0, 1, roots=[2, 3]),
-        TroubleScript("root_pause", 13.0, 4.0, roots=[2]),
-        TroubleScript("link_oneway", 15.0, 4.0, roots=[0], to=[3]),
-        TroubleScript("link_twice", 18.0, 4.0, roots=[0, 1, 2, 3], share=0.7, ms=5000.0),
-        TroubleScript("link_delay", 19.0, 3.0, roots=[1], ms=50.0),
-        TroubleScript("root_restart", 20.0, 0.5, roots=[1]),
+        FaultSpec("root_kill", 3.0, 9.0, roots=[1]),
+        FaultSpec("link_loss", 4.0, 5.0, roots=[0, 1, 2, 3], share=0.2),
+        FaultSpec("leaf_cut", 6.0, 3.0, 2, roots=[3]),
+        FaultSpec("leaf_reset", 10.0, 2.0, 8, roots=[0]),
+        FaultSpec("leaf_oneway", 22.0, 3.0, 1, roots=[2, 3]),
+        FaultSpec("root_pause", 13.0, 4.0, roots=[2]),
+        FaultSpec("link_oneway", 15.0, 4.0, roots=[0], to=[3]),
+        FaultSpec("link_twice", 18.0, 4.0, roots=[0, 1, 2, 3], share=0.7, ms=5000.0),
+        FaultSpec("link_delay", 19.0, 3.0, roots=[1], ms=50.0),
+        FaultSpec("root_restart", 20.0, 0.5, roots=[1]),
     ],
 )
-FLEET_DAYS = {"peers": PEERS}
-PARTS = {"peers": ("health", "streams")}  # what a day can be played without
-BREACHES = {"peers": ("old_life", "young_facts", "never_gone", "hasty")}
+FLEET_SCENARIOS = {"peers": PEERS}
+REMOVABLE_PARTS = {"peers": ("health", "streams")}  # what a day can be played without
+PLANTED_DEFECTS = {"peers": ("old_life", "young_facts", "never_gone", "hasty")}
--- a/mothnotch/standins/platform.py
+++ b/mothnotch/standins/platform.py
@@ -12,7 +12,7 @@
 
 import trio
 
-from mothnotch.audit.rules import Ask, Record
+from mothnotch.audit.rules import DayRecord, QueryRecord
 from mothnotch.net import close_now, serve
 from mothnotch.standins.leaf import Seen
 
@@ -29,12 +29,12 @@
 class World:
     """What all stand-ins share: the record, and the keys whose effect was taken in."""
 
-    record: Record = field(default_factory=Record)
+    record: DayRecord = field(default_factory=DayRecord)
     keys: dict = field(default_factory=dict)  # (key, shard) -> (time, id)
     window_s: float = 1.2
 
     def saw(self, leaf, what, rid="", shard=None):
-        self.record.seen.append(
+        self.record.leaf_events.append(
             Seen(trio.current_time(), leaf, what, values=(f"id:{rid}",) if rid else (), shard=shard)
         )
 
@@ -124,7 +124,7 @@
                 before = self.world.keys.get((key, shard))
                 if before is None or trio.current_time() - before[0] > self.world.window_s:
                     self.world.keys[key, shard] = trio.current_time(), rid
-                    effects = self.world.record.effects
+                    effects = self.world.record.effect_counts
                     effects[f"id:{rid}"] = max(
                         1, effects.get(f"id:{rid}", 0) + (before is not None)
                     )
@@ -284,7 +284,7 @@
 
     async def ask(self, rid, kind, shards, text="t", timeout_ms=1000, key=None, root=0):
         """Asks once and records it; gives (status, headers, body) or None."""
-        ask = Ask(
+        ask = QueryRecord(
             f"id:{rid}",
             root,
             kind,
@@ -294,15 +294,15 @@
             tuple(shards),
         )
         ask.expected = {s: (int(value_of(text, s)),) for s in shards}
-        self.world.record.asks.append(ask)
+        self.world.record.queries.append(ask)
         await self.say(request(rid, kind, shards, text, timeout_ms, key))
         got = await self.answer()
-        ask.ended = trio.current_time()
+        ask.ended_at = trio.current_time()
         if got is None:
-            ask.final = "lost"
+            ask.outcome = "lost"
             return None
-        ask.finals, ask.surplus = 1, len(self.held)
-        ask.final = {200: "answered", 503: "refused", 429: "refused"}.get(got[0], "failed")
+        ask.reply_count, ask.surplus_bytes = 1, len(self.held)
+        ask.outcome = {200: "answered", 503: "refused", 429: "refused"}.get(got[0], "failed")
         if got[0] == 200:
             body = json.loads(got[2])
             ask.value = (sum(int(a["blob"]) for a in body["answers"]),)
--- a/mothnotch/studies/catalogue.py
+++ b/mothnotch/studies/catalogue.py
@@ -13,7 +13,7 @@
 import trio.testing
 
 from mothnotch import demo, logs
-from mothnotch.audit.rules import departures, id_of, judge, service
+from mothnotch.audit.rules import departures, evaluate_rules, query_id_of, served_worth
 from mothnotch.badday import play
 from mothnotch.badday import script as scripts
 from mothnotch.consul import api
@@ -23,7 +23,7 @@
 from mothnotch.net.memory import MemoryNetwork
 from mothnotch.standins.consul import Catalogue, ConsulAgent
 
-T = scripts.TroubleScript
+T = scripts.FaultSpec
 
 
 def parallel(function, items, most=None):
@@ -44,10 +44,16 @@
 
 def one_day(item):
     seed, sockets = item
-    script = scripts.drawn_departures(seed)
+    script = scripts.random_departures(seed)
     record = play.play_sockets(script, seed) if sockets else play.play_virtual(script, seed)
-    broken = [f"{v.rule}: {line}" for v in judge(record) for line in v.breaches[:3]]
-    return seed, departures(record), broken, len(record.asks), service(record).get("all", 0.0)
+    broken = [f"{v.rule}: {line}" for v in evaluate_rules(record) for line in v.violations[:3]]
+    return (
+        seed,
+        departures(record),
+        broken,
+        len(record.queries),
+        served_worth(record).get("all", 0.0),
+    )
 
 
 def study_departures(days=500, sockets=False, seed=0):
@@ -91,27 +97,27 @@
         "hidden": [T("consul_hidden", 30.0, 600.0, 3)],
         "wiped": [T("consul_wipe", 30.0, 600.0, 3)],
     }[name]
-    script = scripts.Script(
+    script = scripts.Scenario(
         700.0,
         1,
         8,
-        scripts.Load(rate=8.0),
+        scripts.LoadSpec(rate=8.0),
         troubles=base + wrong,
-        consul=scripts.ConsulScript(3, 2, 10.0),
+        consul=scripts.ConsulSpec(3, 2, 10.0),
     )
     record = play.play_virtual(script, 1)
     told = [
         at
-        for at, leaf, state, _ in record.told
+        for at, leaf, state, _ in record.endpoint_updates
         if leaf == "leaf-5" and state != "up" and at >= 630.0
     ]
     return (
         name,
-        service(record)["all"],
-        sum(a.final == "answered" for a in record.asks),
-        len(record.asks),
+        served_worth(record)["all"],
+        sum(a.outcome == "answered" for a in record.queries),
+        len(record.queries),
         min(told, default=float("nan")) - 630.0,
-        sum(len(v.breaches) for v in judge(record)),
+        sum(len(v.violations) for v in evaluate_rules(record)),
     )
 
 
@@ -142,13 +148,13 @@
         if what == "check"
         else T("flapping", 2.0, 20.0, ["leaf-3"], hz)
     )
-    script = scripts.Script(
+    script = scripts.Scenario(
         seconds,
         1,
         8,
-        scripts.Load(rate=40.0),
+        scripts.LoadSpec(rate=40.0),
         troubles=[trouble],
-        consul=scripts.ConsulScript(2, 2, 5.0),
+        consul=scripts.ConsulSpec(2, 2, 5.0),
     )
     if not told:
         script = msgspec.structs.replace(
@@ -157,15 +163,15 @@
     record = play.play_virtual(script, 1)
     sends = sum(
         s.what == "arrived" and s.leaf == "leaf-3" and 2.0 <= s.at < 22.0 and s.shard is not None
-        for s in record.seen
+        for s in record.leaf_events
     )
     return (
         what,
         hz,
         told,
         sends / 20.0,
-        service(record)["all"],
-        sum(len(v.breaches) for v in judge(record)),
+        served_worth(record)["all"],
+        sum(len(v.violations) for v in evaluate_rules(record)),
     )
 
 
@@ -243,18 +249,18 @@
         T(kind, 3.0 + 2 * k, 1.6 * len(g) if kind == "deploy" else 1.0, g)
         for k, g in enumerate(groups)
     ]
-    script = scripts.Script(
+    script = scripts.Scenario(
         20.0,
         1,
         8,
-        scripts.Load(
+        scripts.LoadSpec(
             rate=3.0 * leaves,
             clients=600,
             mix={"order-lookup": 0.85, "hold-set": 0.15},
             leave=0.0,
             cancel=0.0,
         ),
-        scripts.LeavesScript(count=leaves, cores=1, work_ms=60.0),
+        scripts.LeavesSpec(count=leaves, cores=1, work_ms=60.0),
         budget_share=0.1,
         budget_free=10,
         budget_window_s=5.0,
@@ -262,17 +268,18 @@
         troubles=troubles,
     )
     record = play.play_virtual(script, 2)
-    lookups = {a.id: len(a.shards) for a in record.asks if a.kind == "order-lookup"}
+    lookups = {a.id: len(a.shards) for a in record.queries if a.class_name == "order-lookup"}
     sent = sum(
-        s.what == "arrived" and s.shard is not None and id_of(s) in lookups for s in record.seen
+        s.what == "arrived" and s.shard is not None and query_id_of(s) in lookups
+        for s in record.leaf_events
     )
     return (
         leaves,
         late,
         kind,
-        service(record)["all"],
+        served_worth(record)["all"],
         sent / sum(lookups.values()),
-        sum(len(v.breaches) for v in judge(record) if not v.rule.startswith("3")),
+        sum(len(v.violations) for v in evaluate_rules(record) if not v.rule.startswith("3")),
     )
 
 
--- a/mothnotch/studies/peercost.py
+++ b/mothnotch/studies/peercost.py
@@ -19,7 +19,7 @@
 import trio
 
 from mothnotch import demo, net
-from mothnotch.badday.play import end_all
+from mothnotch.badday.play import terminate_all
 from mothnotch.bench import FULL_QUERY, measure_latencies, percentile_ms, process_cpu_s
 from mothnotch.cli import leaf_processes
 from mothnotch.peers import exchange
@@ -74,7 +74,7 @@
             )
         yield [(p, p.stdout.readline().split("postgresql://")[1].strip()) for p in processes]
     finally:
-        end_all(processes)
+        terminate_all(processes)
 
 
 async def views(count, but=()):
--- a/tests/support/platform_environment.py
+++ b/tests/support/platform_environment.py
@@ -49,8 +49,14 @@
     def __init__(self):
         self.network, self.world, self.log = MemoryNetwork(), platform.World(), RecordingLog()
         record = self.world.record
-        record.floors, record.windows = {"read": 0.5, "hold": 1.0}, {"hold": 1.2}
-        record.aims, record.worths = {"read": 0.8, "hold": 0.8}, {"read": 5.0, "hold": 1.0}
+        record.min_answer_weights, record.repeat_windows_s = (
+            {"read": 0.5, "hold": 1.0},
+            {"hold": 1.2},
+        )
+        record.latency_objectives_s, record.priority_weights = (
+            {"read": 0.8, "hold": 0.8},
+            {"read": 5.0, "hold": 1.0},
+        )
         record.rules = i.Rules(20000, 0.2, 9_000_000, 3.0, 3_000_000, None, 0, None)
         record.slack_s = 0.05
 
@@ -70,7 +76,7 @@
 
     def set_leaf_state(self, leaf, state):
         """Have discovery announce a state of a leaf, and record it for the auditor."""
-        self.world.record.told.append(
+        self.world.record.endpoint_updates.append(
             (trio.current_time(), leaf.name, {"Ready": "up"}.get(state, "gone"), None)
         )
         self.discovery.say(False, self.target(leaf, state))
@@ -91,7 +97,7 @@
             ]
             for leaf in env.leaves:
                 await nursery.start(leaf.run)
-                env.world.record.told.append((0.0, leaf.name, "up", None))
+                env.world.record.endpoint_updates.append((0.0, leaf.name, "up", None))
             targets = [env.target(leaf) for leaf in env.leaves]
             env.discovery = platform.Discovery(env.network, targets)
             env.discovery.silent = silent
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -11,7 +11,7 @@
 import msgspec
 import pytest
 
-from mothnotch.audit.rules import judge
+from mothnotch.audit.rules import evaluate_rules
 from mothnotch.badday import play
 from mothnotch.badday import script as scripts
 from mothnotch.config import ConfigError
@@ -20,8 +20,12 @@
 
 
 def broken(seed):
-    record = play.play_virtual(scripts.drawn(seed), seed)
-    return seed, len(record.asks), [(v.rule, v.breaches[:3]) for v in judge(record) if v.breaches]
+    record = play.play_virtual(scripts.random_scenario(seed), seed)
+    return (
+        seed,
+        len(record.queries),
+        [(v.rule, v.violations[:3]) for v in evaluate_rules(record) if v.violations],
+    )
 
 
 def test_rules_hold_over_many_seeds():
@@ -34,12 +38,12 @@
 
 
 def day(troubles=(), **changes):
-    base = scripts.Script(
+    base = scripts.Scenario(
         4.0,
         2,
         8,
-        scripts.Load(rate=25.0, transactions=0.5),
-        scripts.LeavesScript(),
+        scripts.LoadSpec(rate=25.0, transactions=0.5),
+        scripts.LeavesSpec(),
         0.1,
         5,
         2.0,
@@ -48,11 +52,11 @@
     return msgspec.structs.replace(base, **changes)
 
 
-T = scripts.TroubleScript
-COLD = scripts.LeavesScript(
+T = scripts.FaultSpec
+COLD = scripts.LeavesSpec(
     cores=1, work_ms=8.0, cold_from=0.1, cold_s=20.0, fall_multiple=1.1, fall_s=0.5, fresh=True
 )
-WRITES = scripts.Load(rate=40.0, mix={"hold-set": 1.0}, transactions=0.5)
+WRITES = scripts.LoadSpec(rate=40.0, mix={"hold-set": 1.0}, transactions=0.5)
 
 
 @pytest.mark.parametrize(
@@ -75,22 +79,22 @@
         (
             "no_cold",
             "4",
-            day(leaves=COLD, load=scripts.Load(rate=70.0), budget_share=0.3, budget_free=20),
+            day(leaves=COLD, load=scripts.LoadSpec(rate=70.0), budget_share=0.3, budget_free=20),
         ),
         ("half_as_whole", "5", day([T("hang", 0.3, 3.0, 5)])),
         ("many_attempts", "6", day([T("fast_errors", 0.3, 3.0, 6, share=0.9)])),
     ],
 )
 def test_auditor_catches_a_planted_breach_and_passes_the_sound_program(breach, rule, script):
-    sound = judge(play.play_virtual(script, 5))
-    assert [v.breaches for v in sound] == [[]] * 6
-    planted = judge(play.play_virtual(msgspec.structs.replace(script, breach=breach), 5))
-    assert [v for v in planted if v.rule.startswith(rule)][0].breaches
+    sound = evaluate_rules(play.play_virtual(script, 5))
+    assert [v.violations for v in sound] == [[]] * 6
+    planted = evaluate_rules(play.play_virtual(msgspec.structs.replace(script, breach=breach), 5))
+    assert [v for v in planted if v.rule.startswith(rule)][0].violations
 
 
 def digest(seed):
     return hashlib.sha256(
-        "\n".join(play.transcript(play.play_virtual(scripts.drawn(seed), seed))).encode()
+        "\n".join(play.transcript(play.play_virtual(scripts.random_scenario(seed), seed))).encode()
     ).hexdigest()
 
 
@@ -105,10 +109,10 @@
 
 
 def test_every_kind_of_trouble_plays_alone():
-    for kind in scripts.KINDS:
+    for kind in scripts.FAULT_KINDS:
         record = play.play_virtual(day([T(kind, 0.5, 1.5, 2)], seconds=2.5), 3)
-        assert [v.breaches for v in judge(record)] == [[]] * 6, kind
-        assert sum(a.final == "answered" for a in record.asks) > 10, kind
+        assert [v.violations for v in evaluate_rules(record)] == [[]] * 6, kind
+        assert sum(a.outcome == "answered" for a in record.queries) > 10, kind
 
 
 def test_script_errors_name_the_place():
--- a/tests/test_decisions_beside.py
+++ b/tests/test_decisions_beside.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from mothnotch.badday.script import KINDS, of_bench_day
+from mothnotch.badday.script import FAULT_KINDS, scenario_from_bench_day
 from mothnotch.decisions import endpoint_list, outcomes, request_classes, transactions
 from mothnotch.decisions import interface as i
 from mothnotch.decisions.endpoint_list import Leaf
@@ -195,7 +195,7 @@
             {"kind": "hang", "at": 50_000_000, "len": 1, "size": 0.1},
         ],
     }
-    script, notes = of_bench_day(day, 20.0)
+    script, notes = scenario_from_bench_day(day, 20.0)
     assert [(t.kind, t.at, t.lasts) for t in script.troubles] == [
         ("slow", 5.0, 4.0),
         ("burst", 10.0, 1.0),
@@ -207,4 +207,4 @@
         1.6,
     )
     assert script.troubles[2].share == 0.3 and script.roots == 3 and len(notes) == 2
-    assert all(t.kind in KINDS for t in script.troubles)
+    assert all(t.kind in FAULT_KINDS for t in script.troubles)
--- a/tests/test_departures.py
+++ b/tests/test_departures.py
@@ -9,24 +9,28 @@
 import msgspec
 import pytest
 
-from mothnotch.audit.news import told_by_catalogue
-from mothnotch.audit.rules import departures, judge
+from mothnotch.audit.catalogue_updates import updates_from_catalogue
+from mothnotch.audit.rules import departures, evaluate_rules
 from mothnotch.badday import play
 from mothnotch.badday import script as scripts
 from mothnotch.standins.consul import Told
 
 SEED_COUNT = 40
-make_trouble = scripts.TroubleScript
+make_trouble = scripts.FaultSpec
 
 
 def run_random_day(seed):
-    record = play.play_virtual(scripts.drawn_departures(seed), seed)
+    record = play.play_virtual(scripts.random_departures(seed), seed)
     late_departures = [departure for departure in departures(record) if departure[3] > 0.25]
     return (
         seed,
         len(departures(record)),
         late_departures,
-        [(verdict.rule, verdict.breaches[:3]) for verdict in judge(record) if verdict.breaches],
+        [
+            (verdict.rule, verdict.violations[:3])
+            for verdict in evaluate_rules(record)
+            if verdict.violations
+        ],
     )
 
 
@@ -45,7 +49,9 @@
 
 def make_script(troubles, **changes):
     return msgspec.structs.replace(
-        scripts.Script(4.0, 2, 8, scripts.Load(rate=30.0), consul=scripts.ConsulScript(3, 2, 2.0)),
+        scripts.Scenario(
+            4.0, 2, 8, scripts.LoadSpec(rate=30.0), consul=scripts.ConsulSpec(3, 2, 2.0)
+        ),
         troubles=list(troubles),
         **changes,
     )
@@ -55,27 +61,27 @@
     troubles = [make_trouble("depart", 1.0, 2.0, 1)]
     sound_record = play.play_virtual(make_script(troubles), 5)
     assert (
-        not any(verdict.breaches for verdict in judge(sound_record))
+        not any(verdict.violations for verdict in evaluate_rules(sound_record))
         and max(departure[3] for departure in departures(sound_record)) <= 0.25
     )
     for breach in ("late_news", "ignores_drains"):
         planted_record = play.play_virtual(make_script(troubles, breach=breach), 5)
         assert max(departure[3] for departure in departures(planted_record)) > 0.25, breach
-        assert [verdict for verdict in judge(planted_record) if verdict.rule.startswith("3")][
-            0
-        ].breaches, breach
+        assert [
+            verdict for verdict in evaluate_rules(planted_record) if verdict.rule.startswith("3")
+        ][0].violations, breach
 
 
-@pytest.mark.parametrize("kind", scripts.CONSUL_KINDS)
+@pytest.mark.parametrize("kind", scripts.CONSUL_FAULT_KINDS)
 def test_each_catalogue_fault_alone_breaks_no_rule_and_loses_no_answers(kind):
     record = play.play_virtual(make_script([make_trouble(kind, 0.5, 2.0, 2, 5.0)], seconds=3.0), 3)
-    assert [verdict.breaches for verdict in judge(record)] == [[]] * 6
+    assert [verdict.violations for verdict in evaluate_rules(record)] == [[]] * 6
     ended = [
         ask
-        for ask in record.asks
-        if ask.final in ("answered", "refused", "failed") and ask.sqlstate != "57014"
+        for ask in record.queries
+        if ask.outcome in ("answered", "refused", "failed") and ask.sqlstate != "57014"
     ]
-    assert sum(ask.final == "answered" for ask in ended) >= 0.97 * len(ended) > 30
+    assert sum(ask.outcome == "answered" for ask in ended) >= 0.97 * len(ended) > 30
 
 
 def make_told(at_s, index, states, incarnation=0, user_agent="mothnotch/0", **options):
@@ -93,7 +99,7 @@
 
 def test_catalogue_changes_told_to_a_root_are_derived_from_the_record_in_order():
     four_up = dict.fromkeys("abcd", "up")
-    changes = told_by_catalogue(
+    changes = updates_from_catalogue(
         [
             make_told(1, 10, four_up),
             make_told(2, 12, {**four_up, "a": "draining"}),
--- a/tests/test_fleetday.py
+++ b/tests/test_fleetday.py
@@ -6,22 +6,26 @@
 import pytest
 
 from mothnotch.audit import peers as beliefs
-from mothnotch.audit.rules import judge
+from mothnotch.audit.rules import evaluate_rules
 from mothnotch.badday import fleet, script
 from mothnotch.config import ConfigError
 
 
 def broken(day, seed):
     record, views = fleet.play_virtual(day, seed)
-    return [v.rule for v in judge(record) + beliefs.judge(views) if v.breaches], record, views
+    return (
+        [v.rule for v in evaluate_rules(record) + beliefs.evaluate_rules(views) if v.violations],
+        record,
+        views,
+    )
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_a_sound_fleet_keeps_the_rules_and_the_stated_bounds(seed):
     wrong, record, views = broken(script.PEERS, seed)
     assert wrong == []
-    assert len(record.asks) > 300 and len(views.views) > 300
-    assert all(v.checked > 20 for v in beliefs.judge(views))
+    assert len(record.queries) > 300 and len(views.samples) > 300
+    assert all(v.checked > 20 for v in beliefs.evaluate_rules(views))
 
 
 @pytest.mark.parametrize(
@@ -46,7 +50,7 @@
                 str(
                     [
                         (v.root, v.at, msgspec.json.encode(v.view))
-                        for v in fleet.play_virtual(short, 5)[1].views
+                        for v in fleet.play_virtual(short, 5)[1].samples
                     ]
                 )
                 for _ in range(2)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 
-from mothnotch.audit.rules import judge
+from mothnotch.audit.rules import evaluate_rules
 from mothnotch.decisions import interface as i
 from mothnotch.node import frames
 from mothnotch.standins import platform
@@ -21,12 +21,18 @@
 
 def check_rules(env):
     """Check that the auditor finds no breach of a rule."""
-    assert [line for verdict in judge(env.world.record) for line in verdict.breaches] == []
+    assert [
+        line for verdict in evaluate_rules(env.world.record) for line in verdict.violations
+    ] == []
 
 
 def arrivals_of(env, rid):
     """Return the arrivals of a request's parts at leaves."""
-    return [s for s in env.world.record.seen if s.what == "arrived" and s.values == (f"id:{rid}",)]
+    return [
+        s
+        for s in env.world.record.leaf_events
+        if s.what == "arrived" and s.values == (f"id:{rid}",)
+    ]
 
 
 def test_query_is_answered_completely_with_the_leaves_values():
@@ -151,7 +157,7 @@
             await client.say(INVALID_REQUESTS[name])
             got = await client.answer()
         assert got is not None and 400 <= got[0] < 500 and got[1]["connection"] == "close"
-        assert not env.world.record.seen and not env.root.core.queries
+        assert not env.world.record.leaf_events and not env.root.core.queries
         assert (await (await env.client()).ask("ok", "read", (0, 1)))[0] == 200
 
     run_on_virtual_clock(test)
@@ -171,7 +177,7 @@
         await trio.sleep(
             env.root.resource_limits.linger_s + 0.3
         )  # the root lingers, as an immediate close could destroy the 408
-        assert not env.root.frontend.connections.clients and not env.world.record.seen
+        assert not env.root.frontend.connections.clients and not env.world.record.leaf_events
 
     run_on_virtual_clock(test)
 
@@ -577,7 +583,7 @@
             await env.root.reload()
             path.write_text(json.dumps(text))
             await env.root.reload()
-        assert env.world.record.asks[0].final == "answered"
+        assert env.world.record.queries[0].outcome == "answered"
         assert "new configuration is invalid; keeping the current one" in [
             event for event, _ in env.log.lines
         ]
@@ -673,8 +679,8 @@
                 env.discovery.say(False, env.target(leaf, "Gone"))
                 leaf.drop()
             await trio.sleep(12)
-            env.world.record.asks.clear()
-            env.world.record.seen.clear()
+            env.world.record.queries.clear()
+            env.world.record.leaf_events.clear()
             gc.collect()
             root, b = env.root, env.root.core.balancer
             assert not (
@@ -739,8 +745,8 @@
             await (await env.client()).ask("r1", "read", (0,))
 
     for breach, number in ((incomplete_answer, 4), (ignored_drain, 2), (missing_answer, 0)):
-        verdicts = judge(run_on_virtual_clock(breach).world.record)
-        assert verdicts[number].breaches, breach.__name__
+        verdicts = evaluate_rules(run_on_virtual_clock(breach).world.record)
+        assert verdicts[number].violations, breach.__name__
 
 
 def test_log_lines_of_one_event_are_rate_limited():
