--- a/tests/test_arrival_clock.py
+++ b/tests/test_arrival_clock.py
@@ -1,56 +1,58 @@
-"""Kernel stamps on the monotonic clock: what one read says of the next. Times are set by hand."""
+"""Conversion of kernel receive timestamps to the monotonic clock, with times set by the test."""
 
 import pytest
 import trio
 
 from mothnotch.net import ArrivalClock
 
-WALL = 1_700_000_000.0  # the wall clock at the monotonic clock's zero
+WALL = 1_700_000_000.0  # wall clock time at the zero of the monotonic clock
 
 
-def clock(*passes, offset=-WALL, learned=0.0):
-    """A clock that has learned a difference, with its last three passes at those times."""
+def make_clock(*passes, offset=-WALL, learned=0.0):
+    """Return a clock that has learned an offset, with its last three passes at the given times."""
 
-    async def made():
+    async def create():
         return ArrivalClock()
 
-    found = trio.run(made)
-    found.third_last_pass_s, found.second_last_pass_s, found.last_pass_s = passes
-    found.offsets_s, found.learned_at_s = [offset], learned
-    return found
+    clock = trio.run(create)
+    clock.third_last_pass_s, clock.second_last_pass_s, clock.last_pass_s = passes
+    clock.offsets_s, clock.learned_at_s = [offset], learned
+    return clock
 
 
-def test_what_is_read_late_is_dated_by_its_stamp():
-    assert clock(9.0, 9.2, 10.0).arrival(WALL + 9.5, 10.0) == pytest.approx(9.5, abs=0.01)
+def test_data_read_late_is_dated_by_its_kernel_timestamp():
+    assert make_clock(9.0, 9.2, 10.0).arrival(WALL + 9.5, 10.0) == pytest.approx(9.5, abs=0.01)
 
 
-def test_the_least_delay_is_learned():
-    c = clock(9.0, 9.2, 10.0)
-    c.offsets_s = []
-    assert c.arrival(WALL + 9.6, 10.0) == 10.0  # the first of all: nothing to hold it against
-    assert c.arrival(WALL + 10.0, 10.0) == 10.0
-    assert c.arrival(WALL + 9.6, 10.0) == pytest.approx(9.6, abs=0.01)
+def test_offset_is_learned_from_the_read_with_the_least_delay():
+    clock = make_clock(9.0, 9.2, 10.0)
+    clock.offsets_s = []
+    # The first read: there is nothing to compare it with.
+    assert clock.arrival(WALL + 9.6, 10.0) == 10.0
+    assert clock.arrival(WALL + 10.0, 10.0) == 10.0
+    assert clock.arrival(WALL + 9.6, 10.0) == pytest.approx(9.6, abs=0.01)
 
 
 @pytest.mark.parametrize("step", [3.0, -3.0, 3600.0, -3600.0])
-def test_after_a_step_stamps_of_before_and_after_it_are_both_dated(step):
-    c = clock(9.0, 9.2, 10.0)
-    c.offsets_s = [-WALL, -WALL - step]  # as a pass that sees it leaves them
-    assert c.arrival(WALL + 9.5, 10.0) == pytest.approx(9.5, abs=0.01)
-    c.offsets_s = [-WALL, -WALL - step]
-    assert c.arrival(WALL + step + 9.5, 10.0) == pytest.approx(9.5, abs=0.01)
+def test_timestamps_from_before_and_after_a_clock_step_are_both_converted(step):
+    clock = make_clock(9.0, 9.2, 10.0)
+    clock.offsets_s = [-WALL, -WALL - step]  # as left by a pass that detects the step
+    assert clock.arrival(WALL + 9.5, 10.0) == pytest.approx(9.5, abs=0.01)
+    clock.offsets_s = [-WALL, -WALL - step]
+    assert clock.arrival(WALL + step + 9.5, 10.0) == pytest.approx(9.5, abs=0.01)
 
 
-def test_a_clock_that_was_slewed_through_a_long_quiet_time_is_followed():
-    """An hour at 100 parts in a million, with nothing read: the stamps are 0.36 s behind; read at
+def test_clock_slewed_during_a_long_time_without_reads_is_followed():
+    """After an hour at 100 ppm without reads, timestamps are 0.36 s behind although data is read at
     once.
     """
-    c = clock(3600.0, 3600.2, 3600.4)
-    found = [c.arrival(WALL + at - 0.36, at) for at in (3600.4, 3600.45, 3600.5)]
-    assert found == pytest.approx([3600.4, 3600.45, 3600.5], abs=0.01)
+    clock = make_clock(3600.0, 3600.2, 3600.4)
+    arrivals_s = [clock.arrival(WALL + at - 0.36, at) for at in (3600.4, 3600.45, 3600.5)]
+    assert arrivals_s == pytest.approx([3600.4, 3600.45, 3600.5], abs=0.01)
 
 
-def test_a_right_difference_that_lies_a_little_ahead_is_not_given_up_for_one_that_is_seconds_off():
-    c = clock(9.0, 9.2, 10.0)
-    c.offsets_s = [-WALL + 0.012, -WALL - 3.0]  # the first was learned from a read 12 ms late
-    assert c.arrival(WALL + 9.999, 10.0) == pytest.approx(10.0, abs=0.02)
+def test_correct_offset_slightly_ahead_is_preferred_to_one_that_is_seconds_off():
+    clock = make_clock(9.0, 9.2, 10.0)
+    # The first offset was learned from a read that was 12 ms late.
+    clock.offsets_s = [-WALL + 0.012, -WALL - 3.0]
+    assert clock.arrival(WALL + 9.999, 10.0) == pytest.approx(10.0, abs=0.02)
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -1,5 +1,5 @@
-"""No root waits for who reads its log: lines that cannot be written now are dropped and counted,
-and each line is whole or not there.
+"""A root never waits for the reader of its log: lines that cannot be written at once are dropped
+and counted, and each line is written completely or not at all.
 """
 
 import errno
@@ -32,7 +32,7 @@
 
 
 def full_pipe(size=SMALL_PIPE):
-    """The two ends of a pipe of this size that has no room left."""
+    """Return both ends of a pipe of this size that is full."""
     reader, writer = os.pipe()
     fcntl.fcntl(writer, F_SETPIPE_SZ, size)
     other = os.open(f"/proc/self/fd/{writer}", os.O_WRONLY | os.O_NONBLOCK)
@@ -47,7 +47,7 @@
 
 
 def read_all(reader):
-    """What a pipe holds now."""
+    """Read everything that a pipe currently holds."""
     os.set_blocking(reader, False)
     found = b""
     try:
@@ -58,36 +58,36 @@
     return found
 
 
-def logged(data):
-    """The JSON lines of what was read, each of which must be whole."""
+def parse_lines(data):
+    """Return the JSON lines in `data`, each of which must be complete, without filler lines."""
     assert data.endswith(b"\n")
     return [json.loads(line) for line in data.splitlines() if not line.startswith(b"xxx")]
 
 
-def counted(lines):
-    """How many lines were shown, and how many of those dropped before them they tell."""
+def count_lines(lines):
+    """Return the number of lines, and the number of dropped lines that they report."""
     return len(lines), sum(line.get("dropped_before", 0) for line in lines)
 
 
-def test_lines_past_a_full_pipe_are_dropped_and_counted():
-    """Guards against a root that stops for good once nobody reads its log."""
+def test_lines_to_a_full_pipe_are_dropped_and_counted():
+    """Guards against a root that hangs once nobody reads its log."""
     reader, writer = os.pipe()
     log = Log(os.fdopen(writer, "w"), max_repeats=10_000)
     began_s = time.monotonic()
     for n in range(2_000):
         log.info("line", n=n, text="y" * 200)
     assert time.monotonic() - began_s < 2
-    first = logged(read_all(reader))
+    first = parse_lines(read_all(reader))
     log.info("last")
-    lines = first + logged(read_all(reader))
-    shown, dropped = counted(lines)
+    lines = first + parse_lines(read_all(reader))
+    shown, dropped = count_lines(lines)
     assert lines[-1]["event"] == "last"
     assert shown + dropped == 2_001
     assert dropped > 1_000
 
 
-def test_the_flags_of_an_open_file_that_others_share_are_left_alone():
-    """Guards against a program beside the root whose own writes fail as they would block."""
+def test_flags_of_a_shared_open_file_are_not_changed():
+    """Guards against EAGAIN in another process that writes to the same open file."""
     reader, writer = full_pipe()
     before = fcntl.fcntl(writer, fcntl.F_GETFL)
     Log(os.fdopen(writer, "w", closefd=False)).info("line")
@@ -95,34 +95,34 @@
     assert not before & os.O_NONBLOCK
 
 
-def test_a_pipe_that_cannot_be_opened_anew_is_not_waited_for_either(monkeypatch):
+def test_full_pipe_that_cannot_be_reopened_does_not_block(monkeypatch):
     reader, writer = full_pipe()
 
-    def refused(*_args):
+    def refuse(*_args):
         raise OSError(errno.EACCES, "refused")
 
-    monkeypatch.setattr(line_output.os, "open", refused)
+    monkeypatch.setattr(line_output.os, "open", refuse)
     log = Log(os.fdopen(writer, "w", closefd=False))
     log.info("one")
     assert log.output.dropped == 1
     read_all(reader)
     log.info("two")
-    assert counted(logged(read_all(reader))) == (1, 1)
+    assert count_lines(parse_lines(read_all(reader))) == (1, 1)
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_each_line_is_whole_or_not_there_over_short_writes_and_failing_ones(
+def test_each_line_is_complete_or_missing_after_short_and_failing_writes(
     monkeypatch, tmp_path, seed
 ):
-    """Guards against two lines in one, and against a line that counts as dropped and is there."""
+    """Guards against merged lines, and against written lines that are counted as dropped."""
     rng = random.Random(seed)
     original = os.write
-    failing = [True]
+    is_failing = [True]
 
     def write(descriptor, data):
-        if failing[0] and rng.random() < 0.4:
-            raise OSError(rng.choice((errno.ENOSPC, errno.EIO)), "planted")
-        if failing[0] and rng.random() < 0.4:
+        if is_failing[0] and rng.random() < 0.4:
+            raise OSError(rng.choice((errno.ENOSPC, errno.EIO)), "injected")
+        if is_failing[0] and rng.random() < 0.4:
             data = data[: rng.randint(1, len(data))]
         return original(descriptor, data)
 
@@ -132,18 +132,18 @@
         log = Log(stream, max_repeats=10_000)
         for n in range(1_000):
             log.info("line", n=n)
-        failing[0] = False
+        is_failing[0] = False
         log.info("last")
-    lines = logged(path.read_bytes())
-    shown, dropped = counted(lines)
+    lines = parse_lines(path.read_bytes())
+    shown, dropped = count_lines(lines)
     assert shown + dropped == 1_001
     assert 0 < dropped < 1_000
     numbers = [line["n"] for line in lines[:-1]]
     assert numbers == sorted(set(numbers))
 
 
-def test_a_line_that_was_dropped_does_not_appear_later():
-    """Guards against lines that a stream's buffer keeps while the disk is full."""
+def test_dropped_line_does_not_appear_later():
+    """Guards against lines that stay in a stream's buffer while the disk is full."""
     with open("/dev/full", "w") as stream:
         log = Log(stream, max_repeats=10_000)
         for _ in range(1_000):
@@ -152,32 +152,32 @@
         stream.flush()  # raises if anything is left in it
 
 
-def test_repeats_that_are_not_shown_are_told_though_a_line_is_dropped():
+def test_suppressed_repeats_are_reported_even_if_a_line_is_dropped():
     reader, writer = full_pipe()
     now_s = [0.0]
     log = Log(os.fdopen(writer, "w"), max_repeats=2, window_s=10, clock=lambda: now_s[0])
     for _ in range(5):
-        log.info("line")  # two dropped, three not shown
+        log.info("line")  # two are dropped, three suppressed
     now_s[0] = 11
-    log.info("line")  # dropped, with what it told
+    log.info("line")  # dropped together with its report
     read_all(reader)
     now_s[0] = 22
     log.info("line")
-    (line,) = logged(read_all(reader))
+    (line,) = parse_lines(read_all(reader))
     assert (line["not_shown_before"], line["dropped_before"]) == (3, 3)
 
 
-def test_a_line_longer_than_a_pipe_takes_as_a_whole_is_shortened():
+def test_line_longer_than_an_atomic_pipe_write_is_shortened():
     reader, writer = os.pipe()
     Log(os.fdopen(writer, "w")).error("unexpected error", error='"\\\n\u20ac' * 10_000)
     data = read_all(reader)
-    (line,) = logged(data)
+    (line,) = parse_lines(data)
     assert len(data) <= line_output.PIPE_BUF
     assert line["event"] == "unexpected error"
     assert line["shortened"].startswith('{"error":')
 
 
-def test_a_long_line_is_finished_before_the_next_begins():
+def test_long_line_is_finished_before_the_next_one():
     reader, writer = os.pipe()
     fcntl.fcntl(writer, F_SETPIPE_SZ, SMALL_PIPE)
     output = LineOutput(writer)
@@ -190,7 +190,7 @@
     assert found + read_all(reader) == b"a" * 10_000 + b"\nc\n"
 
 
-def test_a_stopped_terminal_is_not_waited_for():
+def test_stopped_terminal_does_not_block():
     controller, terminal = pty.openpty()
     termios.tcflow(terminal, termios.TCOOFF)
     output = LineOutput(terminal)
@@ -201,7 +201,7 @@
     os.close(controller)
 
 
-def test_a_socket_nobody_reads_is_not_waited_for():
+def test_socket_that_nobody_reads_does_not_block():
     near, far = socket.socketpair()
     output = LineOutput(near.fileno())
     for _ in range(10_000):
@@ -216,8 +216,8 @@
     assert set(found.splitlines()) == {b"y" * 200, b"last"}
 
 
-def test_nothing_is_written_to_a_descriptor_whose_stream_is_closed(tmp_path):
-    """Guards against lines in another file, which has the number by then."""
+def test_nothing_is_written_after_the_stream_is_closed(tmp_path):
+    """Guards against lines in another file that has reused the descriptor."""
     stream = (tmp_path / "log").open("w")
     log = Log(stream)
     stream.close()
@@ -227,8 +227,8 @@
     assert not (tmp_path / "other").read_text()
 
 
-def test_without_a_descriptor_lines_go_nowhere():
-    """Guards against a closed standard error, whose number a connection may have by then."""
+def test_lines_are_discarded_without_an_open_descriptor():
+    """Guards against writing to a connection that has reused the descriptor of standard error."""
     reader, writer = os.pipe()
     os.close(writer)
     for output in (LineOutput(None), LineOutput(writer)):
@@ -236,7 +236,7 @@
     os.close(reader)
 
 
-def test_what_is_printed_is_not_waited_for():
+def test_print_to_a_full_pipe_does_not_block():
     reader, writer = full_pipe()
     stream = LineStream(LineOutput(writer))
     print("a traceback", "of two lines", sep="\n", file=stream)
@@ -246,7 +246,7 @@
 
 
 @pytest.mark.parametrize("form", ["json", "console"])
-def test_the_sql_roots_log_does_not_wait_either(form):
+def test_log_of_the_sql_root_does_not_block(form):
     reader, writer = full_pipe()
     log = logs.logger(form, output=LineOutput(writer))
     for _ in range(3):
@@ -260,10 +260,10 @@
     assert "3" in text
 
 
-def test_a_trace_that_nobody_reads_ends(tmp_path):
+def test_trace_that_nobody_reads_is_disabled(tmp_path):
     path = tmp_path / "trace"
     os.mkfifo(path)
-    assert not Trace(path).enabled  # without a reader it isn't even opened
+    assert not Trace(path).enabled  # without a reader it is not even opened
     reader = os.open(path, os.O_RDONLY | os.O_NONBLOCK)
     trace = Trace(path)
     for _ in range(10_000):
@@ -273,8 +273,8 @@
 
 
 @on_real_sockets
-async def test_a_root_whose_log_nobody_reads_answers_and_stops_as_usual(tmp_path):
-    """Guards against a log collector that hangs: it is full before the root starts."""
+async def test_root_whose_log_nobody_reads_serves_and_stops_as_usual(tmp_path):
+    """Guards against a log collector that hangs: the pipe is full before the root starts."""
     reader, writer = full_pipe()
     async with root_process(tmp_path, stderr=writer) as root:
         for leaf in root.rig.leaves:
@@ -288,11 +288,11 @@
         assert trio.current_time() - began_s < 20
         read_all(reader)
         root.config_path.write_text("{")
-        root.send_signal(signal.SIGHUP)  # a line in the log
+        root.send_signal(signal.SIGHUP)  # causes a log line
         with trio.fail_after(5):
             while not (data := read_all(reader)):
                 await trio.sleep(0.02)
-        assert logged(data)[0]["dropped_before"] >= 1
+        assert parse_lines(data)[0]["dropped_before"] >= 1
         refill(reader, writer_of=root)
         root.send_signal(signal.SIGTERM)
         assert await root.ended(within_s=10) == 0
@@ -300,7 +300,7 @@
 
 
 def refill(reader, writer_of):
-    """Fill the pipe of a running root again, by its own descriptor."""
+    """Fill the log pipe of a running root again, through that process's descriptor."""
     other = os.open(f"/proc/{writer_of.process.pid}/fd/2", os.O_WRONLY | os.O_NONBLOCK)
     try:
         while True:
@@ -310,36 +310,36 @@
 
 
 async def answer_all(nursery, leaf):
-    """Answer every part that comes to a leaf, at once."""
+    """Answer every part that a leaf receives, at once."""
 
-    async def answer(link):
-        while (found := await link.read_frame()) is not None:
+    async def answer(connection):
+        while (found := await connection.read_frame()) is not None:
             for wire_id in wire_ids(found[1]) if found[0] == "m" else ():
-                await link.answer_part(wire_id)
+                await connection.answer_part(wire_id)
 
     while True:
         nursery.start_soon(answer, await leaf.accept_connection())
 
 
 @pytest.mark.parametrize("closed", [False, True])
-def test_a_wrong_configuration_is_told_without_waiting(tmp_path, closed):
-    """With a full pipe as standard error, and with none at all."""
+def test_invalid_configuration_is_reported_without_blocking(tmp_path, closed):
+    """Holds with a full pipe as standard error, and with standard error closed."""
     reader, writer = full_pipe()
-    words = [sys.executable, "-m", "mothnotch.node"]
+    command = [sys.executable, "-m", "mothnotch.node"]
     if closed:
-        words = ["sh", "-c", 'exec "$0" "$@" 2>&-', *words]
-    done = subprocess.run(
-        words,
+        command = ["sh", "-c", 'exec "$0" "$@" 2>&-', *command]
+    result = subprocess.run(
+        command,
         cwd=REPOSITORY,
         env={**os.environ, "BALANCER_CONFIG": str(tmp_path / "nowhere")},
         stderr=writer,
         timeout=20,
     )
-    assert done.returncode == 2
+    assert result.returncode == 2
     os.close(reader)
 
 
-def test_serve_starts_and_stops_though_nobody_reads_what_it_says(tmp_path):
+def test_serve_starts_and_stops_though_nobody_reads_its_output(tmp_path):
     config = tmp_path / "root.json5"
     text = {**demo.CONFIG, "roster": str(tmp_path / "roster")}
     config.write_text(json.dumps(text))
--- a/tests/test_run_line.py
+++ b/tests/test_run_line.py
@@ -1,8 +1,9 @@
-"""`run` of deploy/balancer.toml as a process, held against what the platform refuses: other
-programs, forks, sockets that are not TCP or UDP over IPv4, threads that spin, parts of the program
-that have no place there.
+"""The `run` command of deploy/balancer.toml as a process, checked against the platform's rules: no
+other programs, no forks, only TCP and UDP over IPv4, no spinning threads, and no import of modules
+that are not part of a platform root.
 
-The process reports on itself by an audit hook, loaded as `sitecustomize`; /proc tells the rest.
+The process reports its actions through an audit hook, loaded as `sitecustomize`; /proc provides the
+rest.
 """
 
 import json
@@ -44,9 +45,9 @@
         setattr(os, name, lambda *args, name=name: say("refused", name))
 sys.addaudithook(hook)
 """
-# What a root on the platform is made of. Whatever else the program has (fronts, Consul, stores,
-# roots' peers) is off there.
-OURS = ("decisions", "root", "node", "leaves", "net")
+# The packages that a platform root consists of. All others (fronts, Consul, stores, peers of roots)
+# are not used on the platform.
+PROJECT_PACKAGES = ("decisions", "root", "node", "leaves", "net")
 LIBRARIES = {
     "trio",
     "h11",
@@ -58,26 +59,25 @@
     "sortedcontainers",
     "idna",
 }
-OPTIONAL = {
-    "typing_extensions"
-}  # msgspec asks for it, and does without where `build` has not installed it
+# msgspec imports it if available, and works without it where `build` has not installed it.
+OPTIONAL = {"typing_extensions"}
 IPV4, UNIX = 2, 1
 
 
-def start(tmp_path, where, port):
-    """The process that `run` starts, and the file in which it tells what it does."""
+def start(tmp_path, discovery_address, port):
+    """Start the process of `run`; return it and the file to which it reports its actions."""
     run = tomllib.loads((REPOSITORY / "deploy/balancer.toml").read_text())["run"]
-    words = run.split()
+    command = run.split()
     assert (
-        words[0] == "exec" and words[1] == ".venv/bin/python" and not set(run) & set(";&|`$()")
+        command[0] == "exec" and command[1] == ".venv/bin/python" and not set(run) & set(";&|`$()")
     ), "one process, by exec"
-    config, seen = tmp_path / "config.json", tmp_path / "seen"
+    config, events_path = tmp_path / "config.json", tmp_path / "seen"
     config.write_text(
         json.dumps(
             {
                 "name": "n0",
                 "listen": f"127.0.0.1:{port}",
-                "discovery": where,
+                "discovery": discovery_address,
                 "seed": "1",
                 "known": None,
                 "limits": {"cores": 1, "memory_mb": 64, "sockets": 256},
@@ -89,21 +89,21 @@
     env = {
         **os.environ,
         "BALANCER_CONFIG": str(config),
-        "SEEN": str(seen),
+        "SEEN": str(events_path),
         "PYTHONPATH": str(tmp_path),
         "PYTHONDONTWRITEBYTECODE": "1",
     }
-    # The interpreter of these tests stands in for the one that `build` makes.
+    # The interpreter of these tests is used in place of the one that `build` installs.
     process = subprocess.Popen(
-        [sys.executable, *words[2:]], cwd=REPOSITORY, env=env, stderr=subprocess.PIPE
+        [sys.executable, *command[2:]], cwd=REPOSITORY, env=env, stderr=subprocess.PIPE
     )
-    return process, seen
+    return process, events_path
 
 
 @pytest.fixture(scope="module")
-def seen(tmp_path_factory):
-    """What a root did that started, served a query, was quiet for a while, read its configuration
-    again and ended.
+def observed(tmp_path_factory):
+    """Return what a root did that started, served a query, was idle for a while, reloaded its
+    configuration and ended.
     """
     tmp_path = tmp_path_factory.mktemp("run")
     network, world, found = net.SocketNetwork(), platform.World(), {}
@@ -151,12 +151,12 @@
                             assert process.poll() is None, process.stderr.read()
                         await trio.sleep(0.05)
                     found["answer"] = (await client.ask("r1", "read", (0, 1, 2, 3)))[0]
-                    found["cpu"] = -cpu(process.pid)
-                    began = time.monotonic()
+                    found["cpu_s"] = -cpu_s(process.pid)
+                    began_s = time.monotonic()
                     await trio.sleep(1.5)
-                    found["cpu"], found["span"] = (
-                        found["cpu"] + cpu(process.pid),
-                        time.monotonic() - began,
+                    found["cpu_s"], found["elapsed_s"] = (
+                        found["cpu_s"] + cpu_s(process.pid),
+                        time.monotonic() - began_s,
                     )
                     proc = pathlib.Path(f"/proc/{process.pid}")
                     found["exe"] = os.readlink(proc / "exe")
@@ -188,125 +188,125 @@
     return path.read_text().splitlines()
 
 
-def cpu(pid):
-    """Seconds of the processor that a process has used."""
+def cpu_s(pid):
+    """Return the CPU time that a process has used, in seconds."""
     fields = pathlib.Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def test_it_serves_and_ends_by_itself(seen):
-    assert seen["answer"] == 200 and seen["status"] == 0
+def test_serves_and_exits_on_sigterm(observed):
+    assert observed["answer"] == 200 and observed["status"] == 0
 
 
-def test_it_starts_no_program_and_never_forks(seen):
-    assert [e for e in seen["events"] if e[0] == "refused"] == [] and seen["children"].strip() == ""
-    assert not any("io_uring" in name for name in seen["files"])
+def test_starts_no_program_and_never_forks(observed):
+    assert [e for e in observed["events"] if e[0] == "refused"] == [] and observed[
+        "children"
+    ].strip() == ""
+    assert not any("io_uring" in name for name in observed["files"])
 
 
-def test_it_is_linked_dynamically_against_the_c_library(seen):
-    assert "libc.so" in seen["maps"] or "libc-" in seen["maps"]
-    assert pathlib.Path(seen["exe"]).resolve() == pathlib.Path(sys.executable).resolve()
+def test_is_linked_dynamically_against_the_c_library(observed):
+    assert "libc.so" in observed["maps"] or "libc-" in observed["maps"]
+    assert pathlib.Path(observed["exe"]).resolve() == pathlib.Path(sys.executable).resolve()
 
 
-def test_its_sockets_are_ipv4_but_for_the_pair_that_wakes_the_loop(seen):
-    assert {e[1] for e in seen["events"] if e[0] == "socket"} <= {IPV4, UNIX}
-    named = [e[1] for e in seen["events"] if e[0] in ("socket.bind", "socket.connect")]
-    assert named and all(name.startswith("('127.0.0.1', ") for name in named)
+def test_sockets_are_ipv4_except_the_pair_that_wakes_the_event_loop(observed):
+    assert {e[1] for e in observed["events"] if e[0] == "socket"} <= {IPV4, UNIX}
+    addresses = [e[1] for e in observed["events"] if e[0] in ("socket.bind", "socket.connect")]
+    assert addresses and all(name.startswith("('127.0.0.1', ") for name in addresses)
 
 
-def test_none_of_its_threads_spins(seen):
-    assert seen["cpu"] < 0.3 * seen["span"] and seen["threads"] <= 4
+def test_no_thread_spins(observed):
+    assert observed["cpu_s"] < 0.3 * observed["elapsed_s"] and observed["threads"] <= 4
 
 
-def test_it_imports_only_what_a_root_on_the_platform_is_made_of(seen):
-    names = {e[1] for e in seen["events"] if e[0] == "import"}
-    ours = {name.split(".")[1] for name in names if name.startswith("mothnotch.")}
-    assert ours <= set(OURS), ours - set(OURS)
-    assert "mothnotch.net.memory" not in names  # a fake, for the virtual clock
-    top = {name.split(".")[0] for name in names} - {"mothnotch"}
-    places = {sysconfig.get_paths()["purelib"], sysconfig.get_paths()["platlib"]}
+def test_imports_only_packages_of_a_platform_root(observed):
+    names = {e[1] for e in observed["events"] if e[0] == "import"}
+    imported = {name.split(".")[1] for name in names if name.startswith("mothnotch.")}
+    assert imported <= set(PROJECT_PACKAGES), imported - set(PROJECT_PACKAGES)
+    assert "mothnotch.net.memory" not in names  # an in-memory fake for tests
+    top_level = {name.split(".")[0] for name in names} - {"mothnotch"}
+    site_packages = {sysconfig.get_paths()["purelib"], sysconfig.get_paths()["platlib"]}
     installed = {
         name
-        for name in top
-        for place in places
+        for name in top_level
+        for place in site_packages
         if (pathlib.Path(place) / name).is_dir() or (pathlib.Path(place) / f"{name}.py").is_file()
     }
     assert installed - OPTIONAL <= LIBRARIES, installed - OPTIONAL - LIBRARIES
 
 
-# ---- the end of the process, counted by its clients ----
+# ---- graceful shutdown of the process, as seen by its clients ----
 
 
-def test_whatever_state_a_request_is_in_at_the_word_to_stop_its_client_gets_one_answer(tmp_path):
-    """The process is held (SIGSTOP) while requests come and the word to stop does, so that all
-    cross it.
-    """
+def test_request_in_any_state_at_sigterm_gets_exactly_one_answer(tmp_path):
+    """The process is stopped (SIGSTOP) while requests and SIGTERM are sent, so that they race."""
     from tests.support.platform_rig import Client, LeafConnection, Rig
 
     async def main():
         rig, answers = Rig(), {}
         listener = (await net.SocketNetwork().listen("127.0.0.1:0"))[0]
-        where = f"127.0.0.1:{listener.socket.getsockname()[1]}"
+        address = f"127.0.0.1:{listener.socket.getsockname()[1]}"
         await listener.aclose()
         process, _ = start(
-            tmp_path, f"127.0.0.1:{rig.agent.socket.getsockname()[1]}", where.rpartition(":")[2]
+            tmp_path, f"127.0.0.1:{rig.agent.socket.getsockname()[1]}", address.rpartition(":")[2]
         )
 
-        async def leaf(one):
-            async def link(stream):
-                side = LeafConnection(stream)
-                while (found := await side.read_frame()) is not None:
+        async def serve_leaf(leaf):
+            async def serve_stream(stream):
+                connection = LeafConnection(stream)
+                while (found := await connection.read_frame()) is not None:
                     if found[0] == "m":
                         from tests.support.platform_rig import wire_ids
 
                         for wire_id in wire_ids(found[1]):
                             if not wire_id.startswith("hung"):
-                                nursery.start_soon(side.answer_part, wire_id, "v", 0.1)
+                                nursery.start_soon(connection.answer_part, wire_id, "v", 0.1)
 
             while True:
-                nursery.start_soon(link, await one.listener.accept())
+                nursery.start_soon(serve_stream, await leaf.listener.accept())
 
-        async def agent():
+        async def serve_watch():
             watch = await rig.accept_watch()
             await watch.send_listing(41, *[rig.target(x) for x in rig.leaves], whole=True)
             while True:
                 await trio.sleep(1)
                 await watch.send_chunk(b"\n")
 
-        async def take(name, client, count=1):
+        async def read_answers(name, client, count=1):
             answers[name] = [await client.read_answer() for _ in range(count)]
-            answers[name].append(await client.read_answer())  # and nothing after it
+            answers[name].append(await client.read_answer())  # and no further answer
 
         try:
             with trio.fail_after(60):
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(agent)
-                    for one in rig.leaves:
-                        nursery.start_soon(leaf, one)
+                    nursery.start_soon(serve_watch)
+                    for leaf in rig.leaves:
+                        nursery.start_soon(serve_leaf, leaf)
                     while True:
                         try:
-                            kept = Client(where)
+                            kept = Client(address)
                             kept.send_bytes(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                             if (await kept.read_answer())[0] == 200:
                                 break
                         except OSError:
                             assert process.poll() is None, process.stderr.read()
                         await trio.sleep(0.05)
-                    hung, half, early, out, idle = (Client(where) for _ in range(5))
+                    hung, half, early, out, idle = (Client(address) for _ in range(5))
                     idle.send_bytes(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
                     assert (await idle.read_answer())[0] == 200
                     hung.send_bytes(platform.request("hung", "read", (0,), timeout_ms=900))
                     text = platform.request("half", "read", (1,))
                     half.send_bytes(text[:-20])
-                    await trio.sleep(0.2)  # those are read; what follows is not
+                    await trio.sleep(0.2)  # the root reads these, but not the following ones
                     process.send_signal(signal.SIGSTOP)
                     kept.send_bytes(platform.request("kept", "read", (0,)))
                     out.send_bytes(platform.request("out", "hold", (3,), key="k"))
-                    backlog = Client(where)
+                    backlog = Client(address)
                     backlog.send_bytes(platform.request("backlog", "read", (2,)))
                     process.send_signal(signal.SIGTERM)
                     process.send_signal(signal.SIGCONT)
-                    began = trio.current_time()
+                    began_s = trio.current_time()
                     for name, client in (
                         ("hung", hung),
                         ("kept", kept),
@@ -315,30 +315,28 @@
                         ("half", half),
                         ("early", early),
                     ):
-                        nursery.start_soon(take, name, client)
+                        nursery.start_soon(read_answers, name, client)
                     await trio.sleep(0.2)
-                    process.send_signal(signal.SIGTERM)  # once more
+                    process.send_signal(signal.SIGTERM)  # a repeated signal
                     half.send_bytes(text[-20:])
-                    new = Client(where)
+                    new = Client(address)
                     new.send_bytes(platform.request("new", "read", (1,)))
-                    nursery.start_soon(take, "new", new)
+                    nursery.start_soon(read_answers, "new", new)
                     await trio.sleep(0.15)
-                    process.send_signal(
-                        signal.SIGSTOP
-                    )  # held over the instant at which it takes no more
+                    # Stopped at the time when it would end accepting.
+                    process.send_signal(signal.SIGSTOP)
                     idle.send_bytes(platform.request("idle", "read", (0,)))
-                    late = Client(where)
+                    late = Client(address)
                     late.send_bytes(platform.request("late", "read", (2,)))
-                    nursery.start_soon(take, "late", late)
-                    nursery.start_soon(take, "idle", idle)
+                    nursery.start_soon(read_answers, "late", late)
+                    nursery.start_soon(read_answers, "idle", idle)
                     await trio.sleep(0.35)
                     process.send_signal(signal.SIGCONT)
-                    early.send_bytes(
-                        platform.request("early", "read", (1,))
-                    )  # a connection that asked nothing until then
+                    # The first request on an early connection.
+                    early.send_bytes(platform.request("early", "read", (1,)))
                     while process.poll() is None:
                         await trio.sleep(0.02)
-                    ended = trio.current_time() - began
+                    elapsed_s = trio.current_time() - began_s
                     await trio.sleep(0.1)
                     nursery.cancel_scope.cancel()
         finally:
@@ -348,7 +346,7 @@
         assert (
             process.returncode == 0 and "not answered" not in log and "unexpected" not in log
         ), log
-        assert ended < 1.5 + 0.7, ended  # the longest deadline and what comes on top
+        assert elapsed_s < 1.5 + 0.7, elapsed_s  # the longest deadline and the shutdown slack
         assert {name: [got and got[0] for got in found] for name, found in answers.items()} == {
             "hung": [503, None],
             **{
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -1,5 +1,5 @@
-"""Watches over the list that break, fall silent, lag or are cut: pure decisions at random, and a
-root on a virtual clock.
+"""Discovery watches that fail, fall silent, lag or are cut off: randomized tests of the pure
+decisions, and a root on a virtual clock.
 """
 
 import json
@@ -15,70 +15,69 @@
 from mothnotch.standins.platform_settings import options
 from tests.support.platform_environment import run_on_virtual_clock
 
-TOLD_S, GRACE_S = (
-    6.0,
-    0.25,
-)  # a silent watch's news counts as told so long after it fell silent; a drain's shortest grace
+# NOTIFIED_S: time after which a change that a silent watch missed counts as known to the root.
+# GRACE_S: the shortest grace period of a drain.
+NOTIFIED_S, GRACE_S = 6.0, 0.25
 
 
 # ---- when another watch is opened ----
 
 
-def test_a_silent_watch_is_noticed_before_what_it_misses_counts_as_told():
-    """The worst case: a line just before it falls silent, then one connect that never comes up."""
-    renewal = watch_policy.WatchPolicy(Random(1).random, 0.0)
-    renewal.on_opened(0.0)
-    renewal.on_message(10.0)
+def test_silent_watch_is_replaced_before_missed_changes_count_as_known():
+    """Worst case: a message just before the silence, then a connect that times out."""
+    policy = watch_policy.WatchPolicy(Random(1).random, 0.0)
+    policy.on_opened(0.0)
+    policy.on_message(10.0)
     assert (
-        renewal.next_open_s + renewal.connect_timeout_s + watch_policy.MAX_REOPEN_DELAY_S
-        < 10.0 + TOLD_S
+        policy.next_open_s + policy.connect_timeout_s + watch_policy.MAX_REOPEN_DELAY_S
+        < 10.0 + NOTIFIED_S
     )
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_at_any_order_of_ends_a_watch_is_due_soon_and_never_in_a_tight_loop(seed):
-    rng, now, opened = Random(seed), 0.0, []
-    renewal, standing = watch_policy.WatchPolicy(rng.random, now), 0
+def test_watch_is_reopened_soon_but_not_in_a_tight_loop_in_any_order_of_events(seed):
+    rng, now_s, opened_s = Random(seed), 0.0, []
+    policy, open_count = watch_policy.WatchPolicy(rng.random, now_s), 0
     for _ in range(3000):
-        if renewal.next_open_s <= now:
-            renewal.on_opened(now)
-            opened.append(now)
-            standing += 1
-            if standing > renewal.max_open:
-                renewal.on_broken(now)
-                standing -= 1
+        if policy.next_open_s <= now_s:
+            policy.on_opened(now_s)
+            opened_s.append(now_s)
+            open_count += 1
+            if open_count > policy.max_open:
+                policy.on_broken(now_s)
+                open_count -= 1
         what = rng.choice(
-            ["heard", "broke", "broke", "nothing", "moved"]
+            ["message", "broken", "broken", "nothing", "agent changed"]
             if rng.random() < 0.05
-            else ["broke", "nothing"]
+            else ["broken", "nothing"]
         )
-        if what == "heard" and standing:
-            renewal.on_message(now)
-            standing = 1
-        elif what == "broke" and standing:
-            renewal.on_broken(now)
-            standing -= 1
-        elif what == "moved":
-            renewal.on_agent_changed(now)
-            standing = 0
-        assert renewal.open_count == standing <= renewal.max_open
-        assert renewal.next_open_s - now <= watch_policy.MAX_FIRST_MESSAGE_TIMEOUT_S + 1e-6
-        assert standing or renewal.next_open_s - now <= watch_policy.MAX_REOPEN_DELAY_S + 1e-6
-        now += rng.choice([0.001, 0.01, 0.1])
-    busiest = max(sum(at <= t < at + 1 for t in opened) for at in opened)
-    assert busiest <= 1 / (watch_policy.REOPEN_DELAY_S / 2) + 1
-
-
-# ---- what an older list may not take back ----
+        if what == "message" and open_count:
+            policy.on_message(now_s)
+            open_count = 1
+        elif what == "broken" and open_count:
+            policy.on_broken(now_s)
+            open_count -= 1
+        elif what == "agent changed":
+            policy.on_agent_changed(now_s)
+            open_count = 0
+        assert policy.open_count == open_count <= policy.max_open
+        assert policy.next_open_s - now_s <= watch_policy.MAX_FIRST_MESSAGE_TIMEOUT_S + 1e-6
+        assert open_count or policy.next_open_s - now_s <= watch_policy.MAX_REOPEN_DELAY_S + 1e-6
+        now_s += rng.choice([0.001, 0.01, 0.1])
+    max_per_second = max(sum(at <= t < at + 1 for t in opened_s) for at in opened_s)
+    assert max_per_second <= 1 / (watch_policy.REOPEN_DELAY_S / 2) + 1
+
+
+# ---- older lists ----
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_an_older_list_never_brings_back_a_leaf_told_to_drain(seed):
-    rng, told, drained = Random(seed), endpoint_list.EndpointTracker(), {}
+def test_older_list_never_reverts_a_drain(seed):
+    rng, tracker, drained = Random(seed), endpoint_list.EndpointTracker(), {}
     for _ in range(500):
         if rng.random() < 0.1:
-            told.on_agent_changed()
-        rev, whole = rng.randrange(1, 60), rng.random() < 0.5
+            tracker.on_agent_changed()
+        version, is_complete = rng.randrange(1, 60), rng.random() < 0.5
         leaves = [
             endpoint_list.Leaf(
                 f"s{n}",
@@ -90,29 +89,29 @@
             )
             for n in rng.sample(range(6), rng.randrange(1, 6))
         ]
-        if told.is_stale_delta(rev, whole):
+        if tracker.is_stale_delta(version, is_complete):
             continue
-        before, found = told.version, told.apply(rev, whole, leaves)
-        if found is None:
-            assert not whole and rev <= before
+        previous_version, applied = tracker.version, tracker.apply(version, is_complete, leaves)
+        if applied is None:
+            assert not is_complete and version <= previous_version
             continue
-        for said, leaf in zip(leaves, found, strict=True):
-            at, started = drained.get(leaf.name, (0, None))
+        for listed, leaf in zip(leaves, applied, strict=True):
+            drained_version, started = drained.get(leaf.name, (0, None))
             if leaf.state == "up":
-                assert rev >= at or said.started != started
+                assert version >= drained_version or listed.started != started
                 drained.pop(leaf.name, None)
-            elif said.state != "up" and rev >= at:
-                drained[leaf.name] = rev, said.started
+            elif listed.state != "up" and version >= drained_version:
+                drained[leaf.name] = version, listed.started
 
 
-def test_leaves_that_are_gone_are_remembered_up_to_a_bound():
-    told = endpoint_list.EndpointTracker(max_departed=3)
+def test_number_of_remembered_departed_leaves_is_bounded():
+    tracker = endpoint_list.EndpointTracker(max_departed=3)
     for n in range(10):
-        told.apply(n + 1, False, [endpoint_list.Leaf(f"s{n}", "a", "z", 0, "removed")])
-    assert list(told.departed) == ["s7", "s8", "s9"]
+        tracker.apply(n + 1, False, [endpoint_list.Leaf(f"s{n}", "a", "z", 0, "removed")])
+    assert list(tracker.departed) == ["s7", "s8", "s9"]
 
 
-# ---- lists out of bytes ----
+# ---- decoding lists ----
 
 LIST = {
     "rev": 43,
@@ -122,51 +121,51 @@
 
 
 @pytest.mark.parametrize("indent", [None, 0, 2])
-def test_a_list_is_read_however_it_is_indented_and_wherever_it_is_cut_into_pieces(indent):
+def test_list_is_decoded_with_any_indentation_and_any_split_into_chunks(indent):
     text = b"\n" + json.dumps(LIST, indent=indent).encode() + b"\n\n"
-    want = [None, listing.decode(json.dumps(LIST).encode()), None]
+    expected = [None, listing.decode(json.dumps(LIST).encode()), None]
     for at in range(len(text)):
-        lines = listing.ListingReader(1000)
-        assert lines.feed(text[:at]) + lines.feed(text[at:]) == want
-    lines = listing.ListingReader(1000)
-    assert [found for n in range(len(text)) for found in lines.feed(text[n : n + 1])] == want
+        reader = listing.ListingReader(1000)
+        assert reader.feed(text[:at]) + reader.feed(text[at:]) == expected
+    reader = listing.ListingReader(1000)
+    assert [found for n in range(len(text)) for found in reader.feed(text[n : n + 1])] == expected
 
 
 @pytest.mark.parametrize(
     "text",
     [b"{\n\n", b"}\n", b'{"rev":1,\n"targets":[\n\n', b'{"rev":"x","targets":[]}\n', b"noise\n"],
 )
-def test_a_list_that_is_cut_or_none_is_an_error_and_not_the_beginning_of_the_next(text):
+def test_truncated_or_invalid_list_is_an_error_and_not_joined_with_the_next(text):
     with pytest.raises(msgspec.DecodeError):
         listing.ListingReader(1000).feed(text)
 
 
-def test_a_list_that_never_ends_holds_no_more_than_its_bound():
-    lines = listing.ListingReader(1000)
+def test_buffer_of_an_endless_list_is_bounded():
+    reader = listing.ListingReader(1000)
     with pytest.raises(EOFError):
         for _ in range(100):
-            lines.feed(b"{\n" + b" " * 60)
-    assert len(lines.buffered) < 1100
+            reader.feed(b"{\n" + b" " * 60)
+    assert len(reader.buffered) < 1100
 
 
 # ---- a root ----
 
 
-def test_drains_that_a_silent_watch_misses_are_known_before_they_count():
+def test_drain_missed_by_a_silent_watch_is_known_in_time():
     async def test(env):
         await trio.sleep(1)
         env.discovery.silent = True
-        await trio.sleep(2.1)  # the open watch has fallen silent for good
-        silent_at, env.discovery.silent = trio.current_time() - 2.1, False
+        await trio.sleep(2.1)  # the open watch stays silent from now on
+        silent_since_s, env.discovery.silent = trio.current_time() - 2.1, False
         env.set_leaf_state(env.leaves[0], "Terminating")
-        await trio.sleep_until(silent_at + TOLD_S)
+        await trio.sleep_until(silent_since_s + NOTIFIED_S)
         assert not env.root.core.balancer.servers["s0"].up and len(env.root.watch.open_scopes) == 1
 
     run_on_virtual_clock(test)
 
 
 @pytest.mark.parametrize("down_s", [0.3, 1.0, 3.0, 20.0])
-def test_a_drain_is_known_within_its_grace_once_an_agent_that_turned_watches_away_is_back(down_s):
+def test_drain_is_known_within_its_grace_period_once_the_agent_accepts_watches_again(down_s):
     async def test(env):
         await trio.sleep(1)
         listener = env.network.listeners.pop(env.discovery.address)
@@ -181,8 +180,8 @@
     run_on_virtual_clock(test)
 
 
-def test_a_watch_that_comes_up_silent_is_answered_when_its_agent_is_back_and_others_were_asked_beside_it():
-    """Guards both ways in which an agent may come back: answering what waits, or only what is new."""
+def test_agent_that_was_silent_from_the_start_is_followed_once_it_answers():
+    """Holds whether the agent then answers the waiting watches or only new ones."""
 
     async def test(env):
         env.discovery.silent = True
@@ -197,7 +196,7 @@
     run_on_virtual_clock(test)
 
 
-def test_a_move_takes_place_at_once_even_between_two_watches(tmp_path):
+def test_address_change_takes_effect_at_once_even_between_two_watches(tmp_path):
     async def test(env):
         await trio.sleep(1)
         del env.network.listeners[env.discovery.address]
@@ -213,8 +212,8 @@
     run_on_virtual_clock(test)
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_an_agent_whose_versions_are_lower_is_heard_and_takes_no_drain_back(whole):
+@pytest.mark.parametrize("is_complete", [True, False])
+def test_new_agent_with_lower_versions_is_followed_but_reverts_no_drain(is_complete):
     async def test(env):
         await trio.sleep(0.1)
         env.set_leaf_state(env.leaves[0], "Terminating")  # version 41
@@ -222,11 +221,11 @@
         ready = {**env.discovery.targets, "s0": env.target(env.leaves[0])}
         new = platform.Discovery(env.network, list(ready.values()))
         new.rev = 7
-        if not whole:  # an agent that answers an index with changes, whatever it is
-            say = new.chunk
+        if not is_complete:  # the agent answers a watch from any version with a delta
+            send_chunk = new.chunk
 
             async def chunk(stream, text):
-                await say(
+                await send_chunk(
                     stream,
                     text.replace('"all": true', '"all": false')
                     if "index" in new.asked[-1]
@@ -242,37 +241,37 @@
         new.say(False, env.target(env.leaves[1], "Terminating"))
         await trio.sleep(0.1)
         assert not servers["s1"].up
-        assert len(new.asked) == 1 + (not whole) and ("index" in new.asked[-1]) == whole
+        assert len(new.asked) == 1 + (not is_complete) and ("index" in new.asked[-1]) == is_complete
 
     run_on_virtual_clock(test)
 
 
-def test_a_root_is_ready_with_its_agents_list_or_after_eight_seconds_without():
-    async def ready(env):
+def test_root_is_ready_with_the_agents_list_or_after_eight_seconds_without_one():
+    async def ready_status(env):
         client = await env.client()
         await client.say(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
         return (await client.answer())[0]
 
     async def test(env):
-        assert await ready(env) == 503  # what was known when it was started may be old
+        assert await ready_status(env) == 503  # the configured list may be outdated
         await trio.sleep(0.05)
-        assert await ready(env) == 200
+        assert await ready_status(env) == 200
 
-    async def alone(env):
+    async def without_agent(env):
         env.discovery.silent = True
         env.discovery.drop()
         await trio.sleep(7.5)
-        assert await ready(env) == 503
+        assert await ready_status(env) == 503
         await trio.sleep(0.6)
-        assert await ready(env) == 200
+        assert await ready_status(env) == 200
         assert (await (await env.client()).ask("r1", "read", (0, 1)))[0] == 200
 
     run_on_virtual_clock(test)
-    run_on_virtual_clock(alone, silent=True)
+    run_on_virtual_clock(without_agent, silent=True)
 
 
-def test_nothing_of_two_configurations_mixes(tmp_path):
-    """A new file moves discovery and nothing else, whatever it says beside that."""
+def test_reload_changes_the_discovery_address_only(tmp_path):
+    """Guards against a mixture of two configurations: other values of the new file are ignored."""
 
     async def test(env):
         path = tmp_path / "config.json"
