--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -31,9 +31,10 @@
 
     `since_s`: the start of its current timeout: the time of connecting, of the first byte of a
     request or of the last answer, whichever was last. `arrived_s`: arrival time of the last byte of
-    the current request. `partial`: part of a next request was received. `truncated`: more pipelined
-    bytes came than are buffered, and further input is ignored. `closing`: the last answer was
-    given; `lingering`: and it is written completely.
+    the current request. `pipelined_bytes`: bytes received behind it. `partial`: part of a next
+    request was received. `truncated`: more pipelined bytes came than are buffered, and further
+    input is ignored. `closing`: the last answer was given; `lingering`: and it is written
+    completely.
     """
 
     def __init__(self, connections, handler, nursery, stream):
@@ -53,7 +54,7 @@
         # For the first read: its first bytes may be as old as the connection.
         self.waited_since_s = self.network.pending_since(stream)
         self.arrived_s = self.since_s
-        self.ahead_bytes = 0
+        self.pipelined_bytes = 0
         self.discarded_bytes = 0
         self.partial = False
         self.truncated = False
@@ -93,8 +94,8 @@
         if self.truncated:
             return
         if self.query is not None or self.unsent:
-            self.ahead_bytes += len(data)
-            if self.ahead_bytes > MAX_PIPELINED_BYTES:
+            self.pipelined_bytes += len(data)
+            if self.pipelined_bytes > MAX_PIPELINED_BYTES:
                 # Buffered requests are answered, then the connection ends with an error.
                 self.truncated = True
                 return
@@ -151,7 +152,7 @@
         except CONNECTION_LOST_ERRORS:
             return False
         if data:
-            self.ahead_bytes += len(data)
+            self.pipelined_bytes += len(data)
             self._receive(data, trio.current_time())
         return bool(data)
 
@@ -196,8 +197,8 @@
         self.body = bytearray()
         self.partial = False
         # The remaining bytes belong to the next request.
-        self.ahead_bytes = len(self.http.trailing_data[0])
-        arrived_s = self.arrivals.take_until(self.arrivals.total_bytes - self.ahead_bytes)
+        self.pipelined_bytes = len(self.http.trailing_data[0])
+        arrived_s = self.arrivals.take_until(self.arrivals.total_bytes - self.pipelined_bytes)
         if arrived_s is not None:
             self.arrived_s = arrived_s
         path, _, query_string = head.target.decode("latin-1").partition("?")
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -108,7 +108,7 @@
                 client=id(client),
                 reason=reason.name,
                 request=client.request_id,
-                ahead_bytes=client.ahead_bytes,
+                ahead_bytes=client.pipelined_bytes,
             )
         self.clients.pop(client, None)
         close_now(client.stream)
--- a/mothnotch/node/discovery.py
+++ b/mothnotch/node/discovery.py
@@ -48,7 +48,8 @@
         self.policy = WatchPolicy(random, trio.current_time())
         self.starts = StartTimes(now_us(), network.wall_time())
         self.open_scopes = []
-        self.changed = trio.Event()  # wakes `run` when the time of the next watch has changed
+        # Wakes `run` when the time of the next watch has changed.
+        self.schedule_changed = trio.Event()
         self.has_list = False
         self.needs_snapshot = False
 
@@ -62,26 +63,26 @@
         """Return whether the root may receive requests, as far as discovery is concerned."""
         return self.policy.is_ready(trio.current_time())
 
-    def publish(self, found: listing.Listing, kind: WatchEventKind | None = None):
+    def publish(self, update: listing.Listing, kind: WatchEventKind | None = None):
         """Notify core and pool of a list. Raise EOFError if a complete list is needed instead."""
-        if self.endpoints.is_stale_delta(found.version, found.complete):
+        if self.endpoints.is_stale_delta(update.version, update.complete):
             self.needs_snapshot = True
             raise EOFError(
-                f"delta to version {found.version}, but {self.endpoints.version} is held: "
+                f"delta to version {update.version}, but {self.endpoints.version} is held: "
                 "a complete list is requested"
             )
         leaves = self.endpoints.apply(
-            found.version, found.complete or kind is not None, listing.leaves(found)
+            update.version, update.complete or kind is not None, listing.leaves(update)
         )
         if leaves is None:
             return  # not newer than the list that is held
         self.has_list = True
         self.needs_snapshot = False
         if kind is None:
-            kind = WatchEventKind.SNAPSHOT if found.complete else WatchEventKind.DELTA
+            kind = WatchEventKind.SNAPSHOT if update.complete else WatchEventKind.DELTA
         # Before the pool's update: parts that it withdraws must be reassigned by the new list.
         self.core.on_watch_event(
-            endpoint_list.watch_event(leaves, found.version, now_us(), self.starts, kind)
+            endpoint_list.watch_event(leaves, update.version, now_us(), self.starts, kind)
         )
         self.pool.update_leaves(leaves, kind is not WatchEventKind.DELTA)
 
@@ -97,9 +98,9 @@
         """Keep a watch open until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
-                self.changed = trio.Event()
+                self.schedule_changed = trio.Event()
                 with trio.move_on_at(self.policy.next_open_s):
-                    await self.changed.wait()
+                    await self.schedule_changed.wait()
                 if self.policy.next_open_s <= trio.current_time():
                     scope = trio.CancelScope()
                     self.open_scopes.append(scope)
@@ -125,7 +126,7 @@
                 if scope in self.open_scopes:
                     self.open_scopes.remove(scope)
                     self._on_broken(f"{type(error).__name__}: {error}")
-                    self.changed.set()
+                    self.schedule_changed.set()
 
     async def _follow(self, scope):
         """Request the list and process what is received, until another watch replaces this one."""
@@ -143,10 +144,10 @@
                     if event.status_code != 200:
                         raise EOFError(f"status {event.status_code}")
                 elif isinstance(event, h11.Data):
-                    for found in reader.feed(event.data):
+                    for update in reader.feed(event.data):
                         if scope not in self.open_scopes:
                             return
-                        self._on_line(scope, found)
+                        self._on_update(scope, update)
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     raise EOFError("the agent ended the response")
         finally:
@@ -160,10 +161,10 @@
         request = h11.Request(method="GET", target=target, headers=[("Host", self.address)])
         return http.send(request) + http.send(h11.EndOfMessage())
 
-    def _on_line(self, scope, found):
+    def _on_update(self, scope, update):
         """Process a list, or a heartbeat (None), and cancel all other watches."""
-        if found is not None:
-            self.publish(found)
+        if update is not None:
+            self.publish(update)
         self.policy.on_message(trio.current_time())
         self.starts.record_message(now_us())
         if self.open_scopes != [scope]:
@@ -175,7 +176,7 @@
             if other is not scope:
                 other.cancel()
         self.open_scopes = [] if scope is None else [scope]
-        self.changed.set()
+        self.schedule_changed.set()
 
     def _on_broken(self, error):
         """Record that a watch failed, rather than being cancelled in favour of another."""
--- a/mothnotch/node/listing.py
+++ b/mothnotch/node/listing.py
@@ -68,7 +68,7 @@
         the agent's heartbeat. Raise msgspec.DecodeError for anything else.
         """
         self.buffered += data
-        found = []
+        messages = []
         while (end := self.buffered.find(b"\n", self.line_start)) >= 0:
             line = bytes(self.buffered[self.line_start : end])
             self.line_start = end + 1
@@ -81,7 +81,7 @@
             self.depth = 0
             del self.buffered[: self.line_start]
             self.line_start = 0
-            found.append(decode(text) if text.strip() else None)
+            messages.append(decode(text) if text.strip() else None)
         if len(self.buffered) > self.limit_bytes:
             raise EOFError(f"the list exceeds {self.limit_bytes} bytes")
-        return found
+        return messages
--- a/mothnotch/node/requests.py
+++ b/mothnotch/node/requests.py
@@ -138,13 +138,13 @@
     """Return the known headers as text. A header that is repeated with a different value is an
     error.
     """
-    found = {}
+    values = {}
     for raw_name, raw_value in headers:
         name = raw_name.decode("latin-1").lower()
         value = raw_value.decode("latin-1").strip()
-        if name in KNOWN_HEADERS and found.setdefault(name, value) != value:
+        if name in KNOWN_HEADERS and values.setdefault(name, value) != value:
             raise BadRequestError(400, f"{name} stands twice")
-    return found
+    return values
 
 
 def _tenant(headers, settings):
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -180,14 +180,14 @@
             "r2", "read", (0,), long_text(40_000), timeout_ms=6000
         )
         await client.stream.send_all(first_batch)
-        await wait_until(lambda: root_client.ahead_bytes == len(first_batch))
+        await wait_until(lambda: root_client.pipelined_bytes == len(first_batch))
         await link.answer_part("r0.0", after_s=0.3)
         status, headers, _ = await client.read_answer()
         assert status == 200 and "connection" not in headers
         assert await link.read_call() == ["r1.0"]
         second_batch = request("r3", "read", (0,), long_text(40_000))
         await client.stream.send_all(second_batch)
-        await wait_until(lambda: root_client.ahead_bytes >= len(second_batch))
+        await wait_until(lambda: root_client.pipelined_bytes >= len(second_batch))
         for rid in ("r1", "r2"):  # only completely buffered requests are answered
             await link.answer_part(f"{rid}.0")
             status, headers, _ = await client.read_answer()
