--- a/mothnotch/daemon.py
+++ b/mothnotch/daemon.py
@@ -1,6 +1,6 @@
-"""The daemon: assembles core, leaves, endpoint list and front, and runs until cancelled.
+"""A root that speaks the PostgreSQL protocol: assembles its components and runs them.
 
-One nursery holds everything; its end is the end of every connection, call and timer of the root.
+One nursery contains all tasks; when it exits, every connection, call and timer has ended.
 """
 
 import os
@@ -26,14 +26,15 @@
 from mothnotch.sql.plan import Planner
 from mothnotch.store.endpoint_cache import EndpointCache
 
-# Seeds a generator of its own for each part that draws: one's draws don't shift the other's.
+# Size of a random seed. Each component has its own generator, so that the draws of one do not
+# affect those of another.
 SEED_BYTES = 8
-# Tells the runs of a root apart in its name.
+# Size of the random suffix that distinguishes the runs of a root.
 RUN_NAME_BYTES = 6
 
 
 class Root:
-    """One root, assembled from its configuration."""
+    """A root assembled from its configuration."""
 
     def __init__(
         self,
@@ -45,11 +46,11 @@
         random: Callable[[int], bytes] = os.urandom,
         cpu: Callable[[], float] | None = None,
     ):
-        """Assemble a root; nothing runs or listens yet.
+        """Assemble a root without running it or listening.
 
-        `source`: the endpoint list, in place of the file or the catalogue that the configuration
-        names; `seed`: of the decisions, in place of the configuration's; `random(count)` gives
-        bytes for secrets and for the name of this run; `cpu()`: seconds of processor time.
+        `source`: an endpoint list that replaces the configured file or catalogue; `seed`: replaces
+        the configured seed of the decisions; `random(count)`: returns random bytes for secrets and
+        for the name of this run; `cpu()`: returns the CPU time used, in seconds.
         """
         self.config = config
         self.network = network
@@ -63,12 +64,12 @@
         planner = Planner(schema, config.front.plans)
         self.service = Service(self.core, planner, schema, config, self._run_name)
         self.front = PgFront(self.service, config, network, log, random)
-        # What is listened at, once the root serves.
+        # The addresses listened on, once the root serves.
         self.addresses: list[str] = []
         self.peers: PeerService | None = None
         self.registrar: Registrar | None = None
         self.peer_discovery: PeerDiscovery | None = None
-        # The order of the draws below is kept: a seeded run is repeated exactly.
+        # The order of the random draws below must not change: seeded runs must be reproducible.
         if config.peers is not None:
             self.peers = self._make_peers()
         if config.consul is None or source is not None:
@@ -77,7 +78,7 @@
                 source, config.cells, self.core, self.leaves, network, log
             )
         else:
-            self._follow_consul()
+            self._watch_consul()
 
     def _make_core(self, seed: object) -> Core:
         memory = self.config.memory
@@ -93,8 +94,8 @@
     def _make_peers(self) -> PeerService:
         peers = self.config.peers
         generator = Random(self._random(SEED_BYTES))
-        # Of two incarnations the later one has the higher number, as far as wall clocks go; the
-        # membership corrects the rest.
+        # A later incarnation has a higher number as far as the wall clocks agree; otherwise, the
+        # membership protocol corrects it.
         incarnation = (int(self.network.wall_time() * 1000), generator.getrandbits(32))
         return PeerService(
             self.network,
@@ -109,10 +110,10 @@
             peers.settings(),
         )
 
-    def _follow_consul(self) -> None:
-        """Watch the leaves in Consul's catalogue, and register there if the configuration says so.
+    def _watch_consul(self) -> None:
+        """Create the watch on Consul's catalogue and, if configured, the registrar.
 
-        Where the root has peers, find them among the registered roots.
+        If the root has peers, also create their discovery among the registered roots.
         """
         config = self.config
         consul = config.consul
@@ -146,7 +147,7 @@
             )
 
     def _make_cache(self) -> EndpointCache | None:
-        """Return the file of the last endpoint list, if the configuration names one."""
+        """Return the cache of the last endpoint list, None if none is configured."""
         consul = self.config.consul
         if not consul.held:
             return None
@@ -154,7 +155,7 @@
         return EndpointCache(consul.held, fingerprint)
 
     def _first_tcp_address(self) -> tuple[str, int]:
-        """Return (host, port) of the first TCP address served; port 0 if there is none."""
+        """Return (host, port) of the first TCP address listened on; port 0 if there is none."""
         for address in self.addresses:
             kind, *rest = parse_address(address)
             if kind == "tcp":
@@ -162,15 +163,15 @@
         return "", 0
 
     def _peer_meta(self) -> dict[str, str]:
-        """Return what the root's own entry in the catalogue states for its peers."""
+        """Return the metadata of the root's catalogue entry that its peers need."""
         if self.peers is None:
             return {}
         return {ADDRESS_META_KEY: self.config.peers.address or self.peers.socket.address}
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Serve until cancelled; started once every address listens and the list was read.
+        """Serve until cancelled; report started once all addresses listen and the list was read.
 
-        Raise OSError if an address cannot be listened at.
+        Raise OSError if the root cannot listen on an address.
         """
         try:
             async with trio.open_nursery() as nursery:
@@ -196,5 +197,5 @@
 
 
 def cpu_time() -> float:
-    """Return the processor time of this thread, in seconds."""
+    """Return the CPU time of this thread, in seconds."""
     return time.thread_time()
--- a/mothnotch/logs.py
+++ b/mothnotch/logs.py
@@ -1,7 +1,7 @@
-"""Structured logs: JSON lines or console, on standard error, by structlog.
+"""Structured logs on standard error, as JSON lines or in console format, with structlog.
 
-A line that cannot be written now is dropped and counted; the next one that is written says how
-many were dropped.
+A line that cannot be written at once is dropped and counted; the next line that is written states
+the number of dropped lines.
 """
 
 import logging
@@ -12,14 +12,14 @@
 
 
 class LineLogger:
-    """What structlog hands rendered lines to."""
+    """The final logger in structlog's chain: writes rendered lines to a LineOutput."""
 
     def __init__(self, output: LineOutput):
-        """Write each line to this output."""
+        """Write lines to `output`."""
         self._output = output
 
     def msg(self, text: str):
-        """Write a line."""
+        """Write one line."""
         self._output.write(f"{text}\n".encode(errors="backslashreplace"))
 
     log = debug = info = warn = warning = msg
@@ -27,7 +27,7 @@
 
 
 def logger(format="json", level="info", output: LineOutput | None = None):
-    """A logger of its own, to standard error without an output; nothing global is changed."""
+    """Return a new logger; `output` defaults to standard error. No global state changes."""
     output = output or standard_error()
 
     def add_dropped(_logger, _method, event):
@@ -53,7 +53,7 @@
 
 
 def null_logger():
-    """A logger that drops everything: for runs that are judged by other means."""
+    """Return a logger that drops everything, for runs whose logs are not evaluated."""
 
     def drop(logger, method, event):
         raise structlog.DropEvent
