--- a/tests/support/known_failures.py
+++ b/tests/support/known_failures.py
@@ -1,7 +1,8 @@
-"""The list of known failures, KNOWN-RED.txt: real faults that are not fixed yet.
+"""Parser of the list of known failures, KNOWN-RED.txt: faults that are not fixed yet.
 
-A line is one entry: `WHAT | WHEN | SEEN | issue N`. WHAT is a test, `tests/test_x.py::test_y`, or a
-command with its seed, `python -m mothnotch.soak.run --seeds 7`. WHEN is `always` or `sometimes`.
+Each line is one entry: `WHAT | WHEN | SEEN | issue N`. WHAT is a test, `tests/test_x.py::test_y`,
+or a command with its seed, `python -m mothnotch.soak.run --seeds 7`. WHEN is `always` or
+`sometimes`. SEEN describes the failure.
 """
 
 import importlib.util
@@ -9,22 +10,22 @@
 import re
 from dataclasses import dataclass
 
-LIST = pathlib.Path(__file__).resolve().parent.parent.parent / "KNOWN-RED.txt"
+LIST_PATH = pathlib.Path(__file__).resolve().parent.parent.parent / "KNOWN-RED.txt"
 COMMAND = re.compile(r"python -m (mothnotch[.\w]*)( .*)?")
 
 
 class ListError(Exception):
-    """The list is wrong; `line` is the entry that is."""
+    """An entry of the list is invalid; `line` is that entry."""
 
     def __init__(self, line: str, why: str):
-        """`why`: what is wrong with the line."""
-        super().__init__(f"{LIST.name}: {line!r}: {why}")
+        """Create the exception; `why` states what is wrong with the line."""
+        super().__init__(f"{LIST_PATH.name}: {line!r}: {why}")
         self.line = line
 
 
 @dataclass(frozen=True)
 class KnownFailure:
-    """One entry. `sometimes`: it fails at times, so that it may pass."""
+    """One entry. `sometimes`: whether the failure is intermittent, so that the test may pass."""
 
     what: str
     sometimes: bool
@@ -39,13 +40,13 @@
 
 
 def parse(text: str) -> list[KnownFailure]:
-    """Return the entries of a list's text; raise ListError at the first wrong one."""
+    """Return the entries in `text`; raise ListError for the first invalid one."""
     return [_parse_line(line.strip()) for line in text.splitlines() if line.strip()]
 
 
 def load() -> list[KnownFailure]:
-    """Return the entries of the list, none if there is no file; raise ListError."""
-    return parse(LIST.read_text()) if LIST.exists() else []
+    """Return the entries of the file, none if it does not exist; raise ListError."""
+    return parse(LIST_PATH.read_text()) if LIST_PATH.exists() else []
 
 
 def _parse_line(line):
--- a/tests/support/postgres_cluster.py
+++ b/tests/support/postgres_cluster.py
@@ -1,6 +1,4 @@
-"""A root and its stand-in fleet on loopback sockets, in a thread of their own, for drivers that
-block.
-"""
+"""A root and simulated leaves on loopback sockets in a separate thread, for blocking drivers."""
 
 import contextlib
 import inspect
@@ -14,13 +12,11 @@
 from mothnotch.standins.leaf import Fleet
 
 
-class Running:
-    """What a test gets: where the root listens, the leaves, what they recorded, and a way into the
-    run's thread.
-    """
+class RunningRoot:
+    """A root that runs in another thread, its leaves and the events that they recorded."""
 
     def __init__(self):
-        self.seen, self.ready = [], threading.Event()
+        self.leaf_events, self.ready = [], threading.Event()
         self.root = self.fleet = self.store = self.error = None
 
     @property
@@ -32,7 +28,7 @@
         return int(self.root.addresses[0].split(":")[1])
 
     def call(self, function, *args):
-        """Runs a function, sync or async, in the run's thread."""
+        """Call a function, sync or async, in the root's thread."""
         run = (
             trio.from_thread.run
             if inspect.iscoroutinefunction(function)
@@ -45,9 +41,9 @@
 
 
 @contextlib.contextmanager
-def running(changes=None, **options):
-    """A root on the demo's configuration with `changes`; `options` go to the leaves."""
-    state = Running()
+def running_root(changes=None, **options):
+    """Run a root on the demo configuration with `changes`; pass `options` to the leaves."""
+    state = RunningRoot()
 
     async def main():
         state.token = trio.lowlevel.current_trio_token()
@@ -55,7 +51,7 @@
         async with trio.open_nursery() as nursery:
             state.scope = nursery.cancel_scope
             state.store, leaves = demo.create_leaves(
-                network, state.seen.append, work_ms=options.pop("work_ms", 0.3), **options
+                network, state.leaf_events.append, work_ms=options.pop("work_ms", 0.3), **options
             )
             state.fleet = Fleet(leaves, nursery)
             await state.fleet.start()
--- a/tests/support/root_process.py
+++ b/tests/support/root_process.py
@@ -1,5 +1,7 @@
-"""A real process of `run` for tests: its clients, leaves and discovery are the test's own, and its
-system calls and wall clock fail and step as the test says (mothnotch/soak/shim.py).
+"""A root of the HTTP platform in a process of its own, for tests.
+
+The test provides its clients, leaves and discovery. With mothnotch/soak/shim.py, the test makes
+system calls of the process fail and steps its wall clock.
 """
 
 import json
@@ -24,47 +26,49 @@
 
 
 class RootProcess:
-    """A running root, and what a test does to it."""
+    """A running root process and its controls."""
 
-    def __init__(self, rig, process, where, control, log_path, config_path):
-        self.rig, self.process, self.where, self.control = rig, process, where, control
+    def __init__(self, rig, process, address, control, log_path, config_path):
+        self.rig, self.process, self.address, self.control = rig, process, address, control
         self.log_path, self.config_path = log_path, config_path
 
     def client(self):
-        return Client(self.where)
+        return Client(self.address)
 
     def send_signal(self, number):
         self.process.send_signal(number)
 
     @asynccontextmanager
-    async def held(self):
-        """The process is stopped meanwhile: what happens then crosses in the instant at which it
-        goes on.
+    async def paused(self):
+        """Stop the process with SIGSTOP for the duration of the context.
+
+        It handles everything that happened meanwhile at once when it continues.
         """
         self.send_signal(signal.SIGSTOP)
         await trio.sleep(0.05)
         yield
         self.send_signal(signal.SIGCONT)
 
-    def log(self):
+    def read_log(self):
         return self.log_path.read_text()
 
-    def alive(self):
+    def is_running(self):
         return self.process.poll() is None
 
-    def home(self, shard):
-        """The leaf that a part of the tests' key goes to first."""
-        return self.holders(shard)[0]
+    def home_leaf(self, shard):
+        """Return the leaf that a part with the tests' affinity key is sent to first."""
+        return self.replicas(shard)[0]
 
-    def holders(self, shard):
-        """The leaves that hold a shard, by the hash of the tests' key."""
+    def replicas(self, shard):
+        """Return the replicas of a shard in rendezvous order for the tests' affinity key."""
         cells = [(shard + j) % CELLS for j in range(REACH)]
         weighted = [(1.0, leaf.name, leaf) for leaf in self.rig.leaves if leaf.cell in cells]
         return rendezvous_order(f"7f3a|{shard}", weighted)
 
-    async def ended(self, within_s=10):
-        with trio.fail_after(within_s):
-            while self.alive():
+    async def wait_for_exit(self, timeout_s=10):
+        """Wait for the process to exit; return its exit status."""
+        with trio.fail_after(timeout_s):
+            while self.is_running():
                 await trio.sleep(0.01)
         return self.process.returncode
 
@@ -75,8 +79,8 @@
         return sock.getsockname()[1]
 
 
-async def beat(watch):
-    """Keeps a watch alive, as the agent does, until the root gives it up."""
+async def send_heartbeats(watch):
+    """Keep a watch alive, as the discovery agent does, until the root closes it."""
     try:
         while True:
             await trio.sleep(1)
@@ -87,13 +91,15 @@
 
 @asynccontextmanager
 async def root_process(
-    tmp_path, stderr=None, targets=None, answer_watch=True, where=None, **changes
+    tmp_path, stderr=None, targets=None, answer_watch=True, address=None, **changes
 ):
-    """A root that listens, its first watch answered with a beat. `targets`: what it knows, in place
-    of the rig's leaves; `where`: its address, else a free one.
+    """Run a root; with `answer_watch`, answer its first watch and wait until it is ready.
+
+    `targets`: the endpoints in its configuration, in place of the rig's leaves; `address`: its
+    address, by default one with a free port.
     """
-    rig, where = Rig(**changes), where or f"{HOST}:{free_port()}"
-    text = {**rig.config_values, "listen": where, "discovery": address_of(rig.agent.socket)}
+    rig, address = Rig(**changes), address or f"{HOST}:{free_port()}"
+    text = {**rig.config_values, "listen": address, "discovery": address_of(rig.agent.socket)}
     if targets is not None:
         text["known"] = {"rev": 40, "all": True, "targets": targets}
     config_path, control_path, log_path = (
@@ -118,12 +124,12 @@
     try:
         with trio.fail_after(60):
             async with trio.open_nursery() as rig.nursery:
-                root = RootProcess(rig, process, where, control, log_path, config_path)
+                root = RootProcess(rig, process, address, control, log_path, config_path)
                 if answer_watch:
                     rig.first_watch = await rig.accept_watch()
                     await rig.first_watch.send_chunk(b"\n")
-                    rig.nursery.start_soon(beat, rig.first_watch)
-                    await ready(root)
+                    rig.nursery.start_soon(send_heartbeats, rig.first_watch)
+                    await wait_until_ready(root)
                 yield root
                 rig.nursery.cancel_scope.cancel()
     finally:
@@ -131,10 +137,10 @@
         process.wait()
 
 
-async def ready(root):
-    """Waits until the root says that it is ready."""
+async def wait_until_ready(root):
+    """Wait until the root's readiness endpoint returns 200."""
     while True:
-        assert root.alive(), f"the root ended with status {root.process.returncode}"
+        assert root.is_running(), f"the root exited with status {root.process.returncode}"
         try:
             client = root.client()
             client.send_bytes(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
@@ -147,13 +153,13 @@
         await trio.sleep(0.02)
 
 
-async def used_link(root, home):
-    """A connection to a leaf that has answered once."""
+async def open_warm_connection(root, leaf):
+    """Return a connection from the root to a leaf that has already answered a part."""
     client = root.client()
     client.send_bytes(request("warm", "read", (0,), timeout_ms=4000))
-    link = await home.accept_connection()
-    assert await link.read_call() == ["warm.0"]
-    await link.answer_part("warm.0", after_s=0.05)
+    connection = await leaf.accept_connection()
+    assert await connection.read_call() == ["warm.0"]
+    await connection.answer_part("warm.0", after_s=0.05)
     assert (await client.read_answer())[0] == 200
     client.disconnect()
-    return link
+    return connection
--- a/tests/support/virtual_clock.py
+++ b/tests/support/virtual_clock.py
@@ -1,4 +1,4 @@
-"""A root and a demo fleet in memory on a virtual clock, for tests that need exact times."""
+"""A root and a demo fleet in memory on a virtual clock, for tests that need exact timing."""
 
 import random
 
@@ -14,26 +14,32 @@
 
 
 class World:
-    """What a test gets. `seen` is what the leaves saw."""
+    """The environment of a test. `leaf_events`: the events that the leaves recorded."""
 
     def __init__(self):
-        self.network, self.seen = MemoryNetwork(), []
+        self.network, self.leaf_events = MemoryNetwork(), []
 
     async def client(self, user="desk"):
+        """Return a connected client."""
         client = Client(self.network, self.root.addresses[0], user)
         await client.connect()
         return client
 
-    def arrived(self, word):
-        return [s for s in self.seen if s.what == "arrived" and word in s.text]
+    def arrivals(self, word):
+        """Return the statements containing `word` that have arrived at the leaves."""
+        return [
+            event for event in self.leaf_events if event.what == "arrived" and word in event.text
+        ]
 
-    def tell(self):
+    def publish_roster(self):
+        """Write the fleet's current state to the roster file of the root."""
         self.roster.text = demo.roster_text(self.fleet)
 
 
-def play(test, changes=None, **options):
-    """Runs `await test(world)` with a root on the demo's configuration, on a clock that costs no
-    time.
+def run_in_world(test, changes=None, **options):
+    """Run `await test(world)` with a root on the demo configuration and a virtual clock.
+
+    `changes` are applied to the configuration; `options` are passed to the leaves.
     """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(1)
@@ -43,7 +49,7 @@
         async with trio.open_nursery() as nursery:
             world.nursery = nursery
             world.store, leaves = demo.create_leaves(
-                world.network, world.seen.append, **{"rows": 10, **options}
+                world.network, world.leaf_events.append, **{"rows": 10, **options}
             )
             world.fleet = Fleet(leaves, nursery)
             await world.fleet.start()
--- a/tests/test_bad_input.py
+++ b/tests/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at the root's door: a clear error, bounded memory, other clients untouched."""
+"""Bad input from clients: a clear error, bounded memory, no effect on other clients."""
 
 import random
 import struct
@@ -10,77 +10,77 @@
 
 from mothnotch import demo
 from mothnotch.pgwire import client as wire
-from tests.support.postgres_cluster import running
-from tests.support.virtual_clock import play
+from tests.support.postgres_cluster import running_root
+from tests.support.virtual_clock import run_in_world
 
 
-async def answer_of(world, raw, seconds=30):
-    """What the root says to raw bytes, until it closes or a time passes."""
+async def send_raw(world, raw, timeout_s=30):
+    """Send raw bytes; return the received bytes and whether the root closed the connection."""
     stream = await world.network.open(world.root.addresses[0])
     await stream.send_all(raw)
-    got = b""
-    with trio.move_on_after(seconds):
+    received = b""
+    with trio.move_on_after(timeout_s):
         while True:
             data = await stream.receive_some(1 << 16)
             if not data:
-                return got, True
-            got += data
-    return got, False
+                return received, True
+            received += data
+    return received, False
 
 
-START = wire.startup({"user": "a", "database": "stock"})
+STARTUP = wire.startup({"user": "a", "database": "stock"})
 
 
-def test_malformed_bytes_close_that_connection_with_an_error_and_leave_others_alone():
+def test_malformed_bytes_close_only_their_connection_with_an_error():
     async def test(world):
         other = await world.client()
-        r = random.Random(4)
+        generator = random.Random(4)
         for raw in (
             b"GET / HTTP/1.1\r\n\r\n",
             struct.pack("!ii", 100_000_000, 196608),
-            START + b"Q" + struct.pack("!i", 50_000_000),
-            START + b"Z\0\0\0\4",
-            START + b"B\0\0\0\5\0",
-            START + b"Q\0\0\0\6\xff\0",
-            START + r.randbytes(500),
+            STARTUP + b"Q" + struct.pack("!i", 50_000_000),
+            STARTUP + b"Z\0\0\0\4",
+            STARTUP + b"B\0\0\0\5\0",
+            STARTUP + b"Q\0\0\0\6\xff\0",
+            STARTUP + generator.randbytes(500),
         ):
-            got, closed = await answer_of(world, raw)
-            assert closed and b"E" in got and b"FATAL" in got, (raw[:20], got)
+            received, closed = await send_raw(world, raw)
+            assert closed and b"E" in received and b"FATAL" in received, (raw[:20], received)
             assert (await other.query("SELECT count(*) FROM stock")).error is None
         assert len(world.root.front.clients) == 1
 
-    play(test)
+    run_in_world(test)
 
 
-def test_client_that_dribbles_its_startup_is_closed_in_time():
+def test_client_that_sends_its_startup_too_slowly_is_disconnected():
     async def test(world):
         stream = await world.network.open(world.root.addresses[0])
-        begun = trio.current_time()
+        start_s = trio.current_time()
         with pytest.raises((trio.BrokenResourceError, trio.ClosedResourceError)):
-            for byte in START * 10:
+            for byte in STARTUP * 10:
                 await stream.send_all(bytes([byte]))
                 await trio.sleep(1)
-        assert trio.current_time() - begun < 12
+        assert trio.current_time() - start_s < 12
 
-    play(test)
+    run_in_world(test)
 
 
-def test_connections_past_the_most_are_told_so():
+def test_connections_beyond_the_limit_are_rejected_with_an_error():
     async def test(world):
         clients = [await world.client() for _ in range(5)]
-        got, closed = await answer_of(world, START)
-        assert closed and b"53300" in got
+        received, closed = await send_raw(world, STARTUP)
+        assert closed and b"53300" in received
         clients[0].close()
         await trio.sleep(0.1)
         assert (await (await world.client()).query("SELECT 1")).error is None
 
-    play(test, {"front": {"most_connections": 5}})
+    run_in_world(test, {"front": {"most_connections": 5}})
 
 
-def test_client_that_does_not_read_is_dropped_and_holds_nobody_up():
+def test_client_that_does_not_read_is_disconnected_and_delays_no_other_client():
     async def test(world):
         stream = await world.network.open(world.root.addresses[0])
-        await stream.send_all(START)
+        await stream.send_all(STARTUP)
         with trio.move_on_after(1):
             await stream.send_all(
                 wire.query("SELECT * FROM stock, orders WHERE stock.bin = orders.bin") * 300
@@ -91,29 +91,29 @@
         await trio.sleep(40)
         assert len(world.root.front.clients) == 1
 
-    play(test, {"front": {"write_timeout_s": 5.0}}, rows=60)
+    run_in_world(test, {"front": {"write_timeout_s": 5.0}}, rows=60)
 
 
-def test_prepared_statements_portals_and_texts_are_bounded():
+def test_prepared_statements_portals_and_statement_lengths_are_bounded():
     async def test(world):
-        c = await world.client()
+        client = await world.client()
         for n in range(20):
-            await c.send(wire.parse(f"s{n}", "SELECT 1") + wire.SYNC)
-            reply = await c.reply()
+            await client.send(wire.parse(f"s{n}", "SELECT 1") + wire.SYNC)
+            reply = await client.reply()
             assert (reply.error is None) == (n < 16)
         assert reply.error.sqlstate == "53000"
-        reply = await c.query("SELECT '" + "x" * 70_000 + "'")
+        reply = await client.query("SELECT '" + "x" * 70_000 + "'")
         assert reply.error.sqlstate == "54000" and "65536 at most" in reply.error.text
         for n in range(700):
-            await c.query(f"SELECT {n}")
+            await client.query(f"SELECT {n}")
         assert len(world.root.service.planner.cache) <= 512
 
-    play(test, {"front": {"prepared": 16, "message_limit": 2 << 20}})
+    run_in_world(test, {"front": {"prepared": 16, "message_limit": 2 << 20}})
 
 
-def test_garbage_statements_are_errors_with_a_code():
+def test_garbage_statements_fail_with_an_error_code():
     async def test(world):
-        c, r = await world.client(), random.Random(11)
+        client, generator = await world.client(), random.Random(11)
         words = [
             "SELECT",
             "FROM",
@@ -149,65 +149,65 @@
             "SET",
         ]
         for _ in range(600):
-            reply = await c.query(" ".join(r.choices(words, k=r.randint(1, 12))))
+            reply = await client.query(
+                " ".join(generator.choices(words, k=generator.randint(1, 12)))
+            )
             assert (
                 reply.error is None
                 or len(reply.error.sqlstate) == 5
                 and reply.error.sqlstate != "XX000"
             ), reply
-        assert (await c.query("SELECT 1")).rows == [[b"1"]]
+        assert (await client.query("SELECT 1")).rows == [[b"1"]]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_defect_in_a_statement_costs_that_statement_only():
+def test_unexpected_error_in_a_statement_fails_only_that_statement():
     async def test(world):
-        c = await world.client()
+        client = await world.client()
 
-        def broken(text):
+        def fail(text):
             raise KeyError("a defect")
 
-        world.root.service.planner.plan_text = broken
-        reply = await c.query("SELECT 1")
+        world.root.service.planner.plan_text = fail
+        reply = await client.query("SELECT 1")
         assert reply.error.sqlstate == "XX000" and reply.status == "I"
         del world.root.service.planner.plan_text
-        assert (await c.query("SELECT 1")).rows == [[b"1"]]
+        assert (await client.query("SELECT 1")).rows == [[b"1"]]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_long_statements_are_read_beside_the_loop():
-    """A statement that takes the parser a second must not hold up others: their answers come
-    meanwhile.
-    """
-    with running() as run:
+def test_long_statements_are_parsed_outside_the_event_loop():
+    """A statement that takes a second to parse must not delay others."""
+    with running_root() as root:
         with (
-            psycopg.connect(run.url(), autocommit=True) as slow,
-            psycopg.connect(run.url(), autocommit=True) as quick,
+            psycopg.connect(root.url(), autocommit=True) as slow_client,
+            psycopg.connect(root.url(), autocommit=True) as fast_client,
         ):
-            quick.execute("SELECT count(*) FROM stock")
+            fast_client.execute("SELECT count(*) FROM stock")
             text = f"SELECT nope FROM stock WHERE qty IN ({','.join(map(str, range(11_000)))})"
-            found = []
+            errors = []
 
-            def read():
+            def execute():
                 try:
-                    slow.execute(text)
+                    slow_client.execute(text)
                 except psycopg.errors.UndefinedColumn as error:
-                    found.append(error)
+                    errors.append(error)
 
-            worker = threading.Thread(target=read)
+            worker = threading.Thread(target=execute)
             worker.start()
             answers = 0
             while worker.is_alive():
-                quick.execute("SELECT count(*) FROM stock WHERE bin < 100")
+                fast_client.execute("SELECT count(*) FROM stock WHERE bin < 100")
                 answers += 1
             worker.join()
-            assert answers >= 5 and found
+            assert answers >= 5 and errors
 
 
-def test_extended_protocol_misuse_is_named():
+def test_misuse_of_the_extended_protocol_returns_its_error_code():
     async def test(world):
-        c = await world.client()
+        client = await world.client()
         for raw, sqlstate in (
             (wire.execute("nope"), "34000"),
             (wire.bind("", "nope", (), (), ()), "26000"),
@@ -218,21 +218,21 @@
             (wire.parse("a", "SELECT 1") + wire.parse("a", "SELECT 1"), "42P05"),
             (wire.message(b"F", b"\0\0"), "0A000"),
         ):
-            await c.send(raw + (b"" if raw[:1] == b"F" else wire.SYNC))
-            reply = await c.reply()
+            await client.send(raw + (b"" if raw[:1] == b"F" else wire.SYNC))
+            reply = await client.reply()
             assert reply.error.sqlstate == sqlstate, (raw, reply)
-        assert (await c.query("SELECT 1")).rows == [[b"1"]]
+        assert (await client.query("SELECT 1")).rows == [[b"1"]]
 
-    play(test)
+    run_in_world(test)
 
 
-def test_scram_over_sockets_and_trust_only_on_loopback():
+def test_scram_over_sockets_and_trust_authentication_only_on_loopback():
     changes = {"auth": {"method": "scram-sha-256", "users": {"me": "right"}}}
-    with running(changes) as run:
-        with psycopg.connect(run.url(), password="right") as c:
-            assert c.execute("SELECT current_user").fetchone() == ("me",)
+    with running_root(changes) as root:
+        with psycopg.connect(root.url(), password="right") as client:
+            assert client.execute("SELECT current_user").fetchone() == ("me",)
         for user, password in (("me", "wrong"), ("nobody", "right")):
             with pytest.raises(psycopg.OperationalError, match="password authentication failed"):
-                psycopg.connect(run.url(user), password=password)
+                psycopg.connect(root.url(user), password=password)
     with pytest.raises(ValueError, match="auth.method"):
         demo.config(listen=["0.0.0.0:5432"])
--- a/tests/test_catalogue_parts.py
+++ b/tests/test_catalogue_parts.py
@@ -28,7 +28,7 @@
     filtered,
 )
 from mothnotch.store.endpoint_cache import EndpointCache
-from tests.support.virtual_clock import play
+from tests.support.virtual_clock import run_in_world
 
 HEADERS = {"x-consul-index": "7", "x-consul-knownleader": "true", "x-consul-lastcontact": "3"}
 
@@ -276,7 +276,7 @@
         assert blocked
         for stream in blocked:  # the peer's window is full: nothing is sent
             stream.limit, stream.kept = 0, stream.limit
-        count_before = len(world.arrived("stock"))
+        count_before = len(world.arrivals("stock"))
         async with trio.open_nursery() as nursery:
             replies = []
 
@@ -286,17 +286,19 @@
             nursery.start_soon(send_query)
             await trio.sleep(0.005)
             world.fleet.states["leaf-2"] = "draining"
-            world.tell()
+            world.publish_roster()
             assert world.root.watch.poll()
             for stream in blocked:
                 stream.limit = stream.kept
-                stream.peer._wake()
+                stream.peer._notify()
         assert replies[0].error is None
         assert not [
-            arrival for arrival in world.arrived("stock")[count_before:] if arrival.leaf == "leaf-2"
+            arrival
+            for arrival in world.arrivals("stock")[count_before:]
+            if arrival.leaf == "leaf-2"
         ]
 
-    play(test)
+    run_in_world(test)
 
 
 # ---- a third-party client ----
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -16,7 +16,7 @@
     parts_of_call,
     wire_ids,
 )
-from tests.support.root_process import root_process, used_link
+from tests.support.root_process import open_warm_connection, root_process
 
 STEPS = [3.0, -3.0, 9.0, 0.9, -0.9, 3600.0, -3600.0]
 SLACK_MS = 60  # tolerance of a duration at any step
@@ -29,8 +29,8 @@
     tmp_path, step_s, step_timestamps
 ):
     async with root_process(tmp_path) as root:
-        client, link = root.client(), await used_link(root, root.home(0))
-        async with root.held():
+        client, link = root.client(), await open_warm_connection(root, root.home_leaf(0))
+        async with root.paused():
             sent_s = trio.current_time()
             client.send_bytes(request("r1", "read", (0,), timeout_ms=2000))
             await trio.sleep(0.1)
@@ -58,8 +58,8 @@
     The root accepts them one by one afterwards; each deadline must count from the arrival.
     """
     async with root_process(tmp_path) as root:
-        home = root.home(0)
-        async with root.held():
+        home = root.home_leaf(0)
+        async with root.paused():
             clients = [root.client() for _ in range(5)]
             for n, client in enumerate(clients):
                 client.send_bytes(request(f"r{n}", "read", (0,), timeout_ms=2000))
@@ -80,13 +80,13 @@
 async def test_a_step_between_an_answers_arrival_and_its_read_blames_no_leaf(tmp_path, step_s):
     """The answer is unread in the kernel at the step; later parts must still go to the same leaf."""
     async with root_process(tmp_path) as root:
-        home, client = root.home(0), root.client()
+        home, client = root.home_leaf(0), root.client()
         for n in range(4):
             client.send_bytes(request(f"w{n}", "read", (0,), timeout_ms=4000))
             if not n:
                 link = await home.accept_connection()
             assert await link.read_call() == [f"w{n}.0"]
-            async with root.held():
+            async with root.paused():
                 await link.answer_part(f"w{n}.0")
                 await trio.sleep(0.02)
                 root.control.step_wall_clock(step_s, step_timestamps=False)
@@ -134,7 +134,7 @@
 @pytest.mark.parametrize("step_s", [0.0, 3600.0, 30.0, -3600.0])
 async def test_a_recently_started_leaf_is_cold_at_any_wall_clock_time(tmp_path, step_s):
     async with root_process(tmp_path, **slow_start_settings()) as root:
-        home, other = root.holders(0)
+        home, other = root.replicas(0)
         root.control.step_wall_clock(step_s)
         await trio.sleep(0.1)
         await root.rig.first_watch.send_listing(
@@ -158,7 +158,7 @@
 async def test_repeated_lists_do_not_give_a_cold_leaf_more_parts(tmp_path, step_s):
     """Repeated snapshots with the same start time, as after each reset of a watch."""
     async with root_process(tmp_path, **slow_start_settings()) as root:
-        home, other = root.holders(0)
+        home, other = root.replicas(0)
         boot_ms = int((time.time() - 1) * 1000)
         targets = [
             root.rig.target(leaf, boot_ms=boot_ms if leaf is home else 0)
@@ -184,7 +184,7 @@
 async def test_a_step_does_not_extend_the_retry_window_of_a_keyed_part(tmp_path, step_s):
     """A part with an idempotency key may be retried only within its window, 0.8 s of real time."""
     async with root_process(tmp_path, lanes=lanes_with_repeat_window(0.8)) as root:
-        home, other, client = *root.holders(0), root.client()
+        home, other, client = *root.replicas(0), root.client()
         client.send_bytes(request("r1", "hold", (0,), key="k", timeout_ms=6000))
         link = await home.accept_connection()
         assert await link.read_call() == ["r1.0"]
--- a/tests/test_coverage.py
+++ b/tests/test_coverage.py
@@ -13,7 +13,7 @@
     format_reasons,
 )
 from mothnotch.decisions.interface import Result
-from tests.support.virtual_clock import play
+from tests.support.virtual_clock import run_in_world
 
 
 def coverage_of(*weights, missing=()):
@@ -75,7 +75,7 @@
             else:
                 leaf.stop()
         await trio.sleep(0.1)
-        started_s, seen_count = trio.current_time(), len(world.seen)
+        started_s, seen_count = trio.current_time(), len(world.leaf_events)
         reply = await client.query("SELECT bin FROM stock")
         elapsed_s = trio.current_time() - started_s
         (notice,) = reply.notices
@@ -89,7 +89,9 @@
         )
         assert {int(row[0]) // 100 for row in reply.rows} == set(range(24)) - missing
         done = {
-            (event.leaf, event.shard) for event in world.seen[seen_count:] if event.what == "done"
+            (event.leaf, event.shard)
+            for event in world.leaf_events[seen_count:]
+            if event.what == "done"
         }
         for row in rows:
             if row[3] == b"t":
@@ -98,7 +100,7 @@
                 ) <= 1000 * elapsed_s
         assert sum(float(row[2]) for row in rows if row[3] == b"t") == pytest.approx(21 / 24)
 
-    play(test)
+    run_in_world(test)
 
 
 def test_coverage_table_supports_only_plain_columns():
@@ -112,4 +114,4 @@
             await client.query("SELECT why FROM mothnotch_coverage WHERE answered")
         ).error.sqlstate == "0A000"
 
-    play(test)
+    run_in_world(test)
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -19,12 +19,12 @@
 
 from mothnotch.decisions.interface import Result
 from tests.support.attempt_recorder import record_attempts
-from tests.support.postgres_cluster import running
+from tests.support.postgres_cluster import running_root
 
 
 @pytest.fixture(scope="module")
 def run():
-    with running() as state:
+    with running_root() as state:
         yield state
 
 
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -20,7 +20,7 @@
     serve_connection,
     used_connection,
 )
-from tests.support.root_process import beat, ready, root_process
+from tests.support.root_process import root_process, send_heartbeats, wait_until_ready
 
 
 async def serve_leaf(root, leaf, after_s=0.0):
@@ -40,7 +40,7 @@
 @pytest.mark.parametrize("endpoint", ["nonsense", "a..b:80", "10.0.0.1:99999", ""])
 async def test_unusable_leaf_address_affects_only_its_parts(tmp_path, endpoint):
     async with root_process(tmp_path) as root:
-        home = root.home(0)
+        home = root.home_leaf(0)
         await root.rig.first_watch.send_listing(
             41, root.rig.target(home, where=endpoint) | {"endpoint": endpoint}
         )
@@ -50,7 +50,7 @@
         client.send_bytes(request("r1", "read", (0,), timeout_ms=4000))
         answer = await client.read_answer()
         assert answer is not None and answer[0] == 200, answer  # from another leaf with the shard
-        assert root.alive()
+        assert root.is_running()
 
 
 # ---- log write failures ----
@@ -65,7 +65,7 @@
         client.send_bytes(request("r1", "read", (0,), timeout_ms=4000))
         assert (await client.read_answer())[0] == 200
         root.send_signal(signal.SIGTERM)
-        assert await root.ended() == 0
+        assert await root.wait_for_exit() == 0
 
 
 @on_real_sockets
@@ -81,8 +81,8 @@
         assert (await client.read_answer())[0] == 200
         root.control.clear_failures()
         root.send_signal(signal.SIGTERM)
-        assert await root.ended() == 0
-        assert '"stopped"' in root.log()
+        assert await root.wait_for_exit() == 0
+        assert '"stopped"' in root.read_log()
 
 
 # ---- temporary failures of system calls ----
@@ -97,7 +97,7 @@
         serve_all(root)
         root.send_signal(signal.SIGTERM)
         await trio.sleep(0.35)
-        async with root.held():  # past the time at which it stops accepting
+        async with root.paused():  # past the time at which it stops accepting
             late = [root.client() for _ in range(3)]
             for n, client in enumerate(late):
                 client.send_bytes(request(f"late{n}", "read", (n,), timeout_ms=3000))
@@ -108,7 +108,7 @@
         assert [got and got[0] for got in [await client.read_answer() for client in late]] == [
             200
         ] * 3
-        assert await root.ended() == 0
+        assert await root.wait_for_exit() == 0
 
 
 @on_real_sockets
@@ -188,14 +188,14 @@
 async def test_root_serves_once_its_address_is_no_longer_in_use(tmp_path):
     """The previous process still holds the listening socket."""
     previous = listening_socket()
-    async with root_process(tmp_path, answer_watch=False, where=address_of(previous)) as root:
+    async with root_process(tmp_path, answer_watch=False, address=address_of(previous)) as root:
         watch = await root.rig.accept_watch()
         await watch.send_chunk(b"\n")
-        root.rig.nursery.start_soon(beat, watch)
+        root.rig.nursery.start_soon(send_heartbeats, watch)
         await trio.sleep(0.6)
-        assert root.alive()
+        assert root.is_running()
         previous.close()
-        await ready(root)
+        await wait_until_ready(root)
 
 
 @on_real_sockets
@@ -214,7 +214,7 @@
                 break
             await trio.sleep(0.001)
         root.send_signal(signal.SIGTERM)
-        assert await root.ended(within_s=3) == 0
+        assert await root.wait_for_exit(timeout_s=3) == 0
 
 
 @on_real_sockets
@@ -222,7 +222,7 @@
     """The request arrives late on an open connection, and its leaf hangs."""
     async with root_process(tmp_path, lanes=options()["lanes"]) as root:
         client = root.client()
-        async with root.held():
+        async with root.paused():
             root.send_signal(signal.SIGTERM)
             signalled_s = trio.current_time()
             await trio.sleep(0.1)  # 0.15 s in all, with the wait in `held`
@@ -241,7 +241,7 @@
         root.send_signal(signal.SIGTERM)
         signalled_s = trio.current_time()
         await trio.sleep(1.0)
-        assert await root.ended() == 0  # the client has sent only part of its request
+        assert await root.wait_for_exit() == 0  # the client has sent only part of its request
         assert trio.current_time() < signalled_s + 1.5 + 0.7 - 0.1
 
 
--- a/tests/test_few_places.py
+++ b/tests/test_few_places.py
@@ -58,7 +58,7 @@
     read that cancellation, or its connection must be closed.
     """
     async with root_process(tmp_path, **settings_with_few_streams()) as root:
-        home, other = root.holders(0)
+        home, other = root.replicas(0)
         record = []
         warm = root.client()
         warm.send_bytes(request("warm", "read", (0,), timeout_ms=4000))
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -36,13 +36,13 @@
     the timeout of the attempt is due.
     """
     async with root_process(tmp_path) as root:
-        home, client = root.home(0), root.client()
+        home, client = root.home_leaf(0), root.client()
         link = await warm_up(client, home, 3)
         for n in range(ROUNDS):
             client.send_bytes(request(f"r{n}", "read", (0,), timeout_ms=4000))
             # Fails on the type of the frame if the previous round's part was cancelled.
             assert await link.read_call() == [f"r{n}.0"]
-            async with root.held():
+            async with root.paused():
                 await link.answer_part(f"r{n}.0", after_s=WORK_S)
                 await trio.sleep(STALL_S)
             assert (await client.read_answer())[0] == 200
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -1,4 +1,4 @@
-"""The list of known failures excuses what it names, and nothing else."""
+"""The list of known failures excuses exactly the failures that it names."""
 
 import shutil
 import subprocess
@@ -24,7 +24,7 @@
 
 
 def run(tmp_path, entry, *tests):
-    """Run those tests in a tree of their own whose list has this entry."""
+    """Run the tests in a temporary tree whose KNOWN-RED.txt contains the entry."""
     support = tmp_path / "tests" / "support"
     support.mkdir(parents=True)
     for path in ("tests/conftest.py", "tests/support/known_failures.py"):
@@ -34,9 +34,9 @@
     (tmp_path / "tests" / "test_x.py").write_text(TESTS)
     (tmp_path / "KNOWN-RED.txt").write_text(entry)
     (tmp_path / "pytest.ini").write_text("[pytest]\ntestpaths = tests\n")
-    words = [f"tests/test_x.py::{name}" for name in tests]
+    test_ids = [f"tests/test_x.py::{name}" for name in tests]
     return subprocess.run(
-        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *words],
+        [sys.executable, "-m", "pytest", "-q", "-p", "no:cacheprovider", *test_ids],
         cwd=tmp_path,
         capture_output=True,
         text=True,
@@ -44,32 +44,34 @@
 
 
 @pytest.mark.parametrize(
-    ("entry", "test", "status", "said"),
+    ("frequency", "test", "status", "output"),
     [
         ("always", "test_red", 0, "KNOWN RED (always)"),
         ("always", "test_grouped", 0, "1 of 1 cases failed"),
         ("always", "test_mixed", 0, "1 of 3 cases failed"),
-        ("always", "test_green", 1, "take its line off"),
+        ("always", "test_green", 1, "remove its line"),
         ("sometimes", "test_green", 0, "0 of 1 cases failed"),
         ("sometimes", "test_mixed", 0, "1 of 3 cases failed"),
         ("always", "test_broken", 1, "renamed"),
         ("sometimes", "test_broken", 1, "renamed"),
         ("always", "test_mixed_group", 1, "KeyError"),
-        ("always", "test_gone", 4, "which is not there"),
+        ("always", "test_gone", 4, "which does not exist"),
     ],
 )
-def test_a_listed_test_is_excused_for_its_failed_assert_alone(tmp_path, entry, test, status, said):
-    line = f"tests/test_x.py::{test} | {entry} | seen | issue 1\n"
-    done = run(tmp_path, line, "test_green" if test == "test_gone" else test)
-    assert done.returncode == status, done.stdout + done.stderr
-    assert said in done.stdout + done.stderr
+def test_a_listed_test_is_excused_only_for_a_failed_assert(
+    tmp_path, frequency, test, status, output
+):
+    line = f"tests/test_x.py::{test} | {frequency} | seen | issue 1\n"
+    result = run(tmp_path, line, "test_green" if test == "test_gone" else test)
+    assert result.returncode == status, result.stdout + result.stderr
+    assert output in result.stdout + result.stderr
 
 
 def test_a_failure_that_is_not_listed_fails_the_session(tmp_path):
     assert run(tmp_path, "", "test_red").returncode == 1
 
 
-def test_entries_are_read():
+def test_entries_are_parsed():
     text = (
         "tests/test_x.py::test_y | always | a leaf is marked | issue 50\n\n"
         "python -m mothnotch.soak.run --seeds 7 | sometimes | lost | issue 51\n"
@@ -91,11 +93,11 @@
         "python -m somebody.else | always | seen | issue 50",
     ],
 )
-def test_a_wrong_entry_is_told(line):
+def test_an_invalid_entry_is_reported(line):
     with pytest.raises(ListError) as caught:
         parse(line)
     assert caught.value.line == line
 
 
-def test_the_projects_own_list_is_right():
+def test_the_list_of_the_project_is_valid():
     known_failures.load()
--- a/tests/test_log_output.py
+++ b/tests/test_log_output.py
@@ -295,7 +295,7 @@
         assert parse_lines(data)[0]["dropped_before"] >= 1
         refill(reader, writer_of=root)
         root.send_signal(signal.SIGTERM)
-        assert await root.ended(within_s=10) == 0
+        assert await root.wait_for_exit(timeout_s=10) == 0
     os.close(reader)
 
 
--- a/tests/test_peers_service.py
+++ b/tests/test_peers_service.py
@@ -12,7 +12,7 @@
 from mothnotch.peers import exchange
 from mothnotch.peers.codec import Codec
 from mothnotch.peers.service import PeerService, now_us
-from tests.support.virtual_clock import play
+from tests.support.virtual_clock import run_in_world
 
 KEY = b"a key of these tests"
 
@@ -269,4 +269,6 @@
         await world.nursery.start(other.run)
         await until(lambda: alive(other) == {"a"} and alive(world.root.peers) == {"r9"}, 10)
 
-    play(test, {"peers": {"name": "a", "listen": "peer:1", "fleet": "f", "keys": [KEY.decode()]}})
+    run_in_world(
+        test, {"peers": {"name": "a", "listen": "peer:1", "fleet": "f", "keys": [KEY.decode()]}}
+    )
--- a/tests/test_pipelining.py
+++ b/tests/test_pipelining.py
@@ -7,7 +7,7 @@
 
 from mothnotch.standins.platform import request
 from tests.support.platform_rig import on_real_sockets, parts_of_call, rig, serve_connection
-from tests.support.root_process import root_process, used_link
+from tests.support.root_process import open_warm_connection, root_process
 
 REQUESTS = 12
 
@@ -113,8 +113,8 @@
 async def test_timeouts_of_requests_read_together_after_a_stall_run_from_the_first(tmp_path):
     """The kernel's timestamp of a read is that of its last byte; r1 arrived 0.5 s before it."""
     async with root_process(tmp_path) as root:
-        client, link = root.client(), await used_link(root, root.home(0))
-        async with root.held():
+        client, link = root.client(), await open_warm_connection(root, root.home_leaf(0))
+        async with root.paused():
             client.send_bytes(request("r1", "read", (0,), timeout_ms=4000))
             sent = trio.current_time()
             await trio.sleep(0.5)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -458,7 +458,7 @@
         clock = trio.lowlevel.current_clock()
         link.stream.buffer += platform.Leaf.answer(None, "good", "r1.0", platform.value_of("t", 0))
         clock.jump(max(0, attempt.deadline - trio.current_time()) + 0.005)
-        link.stream._wake()
+        link.stream._notify()
         await trio.sleep(0.01)
         assert [event.result for event in events] == [i.Result.OK]
 
--- a/tests/test_root_faults.py
+++ b/tests/test_root_faults.py
@@ -12,7 +12,7 @@
 from mothnotch.pgwire import backend
 from mothnotch.pgwire import client as wire
 from tests.support.attempt_recorder import record_attempts
-from tests.support.virtual_clock import play
+from tests.support.virtual_clock import run_in_world
 
 INSERT_HOLD = "INSERT INTO holds (bin, order_id, item, qty) VALUES (7, 'h1', 'rice', 1)"
 
@@ -52,7 +52,7 @@
         await trio.sleep(5)
         assert count_holds(world) == 1
 
-    play(test)
+    run_in_world(test)
 
 
 def test_write_whose_replicas_all_hang_fails_in_time_and_reports_no_change():
@@ -71,7 +71,7 @@
         await trio.sleep(5)
         assert count_holds(world) == 0
 
-    play(test)
+    run_in_world(test)
 
 
 def test_lost_commit_reply_is_reported_as_unknown_or_resolved_by_the_idempotency_key():
@@ -86,10 +86,10 @@
             assert reply.error.sqlstate == "40003"
         assert count_holds(world) == 1
         assert (
-            len({event.values[0] for event in world.arrived("INSERT INTO mothnotch_keys")}) == 1
+            len({event.values[0] for event in world.arrivals("INSERT INTO mothnotch_keys")}) == 1
         )  # every attempt has the same key
 
-    play(test)
+    run_in_world(test)
 
 
 def test_disconnect_of_a_client_cancels_its_parts_and_sends_nothing_more():
@@ -99,18 +99,18 @@
             leaf.trouble.slow = 200  # 0.4 s for each part
         await client.send(wire.query("SELECT count(*) FROM stock"))
         await trio.sleep(0.1)
-        disconnected_s, sent_count = trio.current_time(), len(world.arrived("stock"))
+        disconnected_s, sent_count = trio.current_time(), len(world.arrivals("stock"))
         assert sent_count == 24
         client.close()
         await trio.sleep(3)
-        assert len(world.arrived("stock")) == sent_count
+        assert len(world.arrivals("stock")) == sent_count
         # The parts were cancelled at the leaves: running ones are not completed, and queued ones
         # are not started.
         assert (
             len(
                 [
                     event
-                    for event in world.seen
+                    for event in world.leaf_events
                     if event.what == "done" and event.at > disconnected_s
                 ]
             )
@@ -122,7 +122,7 @@
             and not world.root.core.parts
         )
 
-    play(test)
+    run_in_world(test)
 
 
 def test_cancel_of_a_call_does_not_affect_the_next_statement_on_its_connection():
@@ -138,7 +138,7 @@
             reply = await fast_client.query("SELECT count(*) FROM orders")
             assert reply.error is None, reply.error
 
-    play(test)
+    run_in_world(test)
 
 
 def test_every_query_ends_in_time_while_one_leaf_of_eight_hangs():
@@ -163,7 +163,7 @@
         assert latencies_s[int(len(latencies_s) * 0.99)] < 4.0 and len(outcomes) == 300
         assert outcomes.count("answered") >= 285, outcomes
 
-    play(test)
+    run_in_world(test)
 
 
 def test_draining_leaf_gets_no_new_parts_after_the_grace_period():
@@ -172,18 +172,18 @@
         for n in range(60):
             if n == 20:
                 world.fleet.states["leaf-2"] = "draining"
-                world.tell()
+                world.publish_roster()
                 draining_since_s = trio.current_time()
             await client.query("SELECT count(*) FROM stock")
             await trio.sleep(0.02)
         late = [
             event
-            for event in world.arrived("stock")
+            for event in world.arrivals("stock")
             if event.leaf == "leaf-2" and event.at > draining_since_s + 0.25
         ]
-        assert not late and any(event.leaf == "leaf-2" for event in world.arrived("stock"))
+        assert not late and any(event.leaf == "leaf-2" for event in world.arrivals("stock"))
 
-    play(test)
+    run_in_world(test)
 
 
 def test_invalid_or_empty_roster_keeps_the_previous_one_in_force():
@@ -201,7 +201,7 @@
             assert (await client.query("SELECT count(*) FROM stock")).error is None
         assert world.root.watch.version == 1
 
-    play(test)
+    run_in_world(test)
 
 
 def test_rows_beyond_memory_and_disk_fail_the_query_and_keep_the_session_usable():
@@ -216,7 +216,7 @@
             == 0
         )
 
-    play(test, {"memory": {"limit_bytes": 65536, "disk_bytes": 4096}}, rows=300)
+    run_in_world(test, {"memory": {"limit_bytes": 65536, "disk_bytes": 4096}}, rows=300)
 
 
 @pytest.mark.parametrize(
@@ -241,8 +241,8 @@
         budget = world.root.core.row_storage.budget
         assert budget.memory.used == budget.disk.used == 0 and not budget.factors
 
-    play(test, rows=300)
-    play(test, {"memory": {"limit_bytes": 1 << 17}}, rows=300)
+    run_in_world(test, rows=300)
+    run_in_world(test, {"memory": {"limit_bytes": 1 << 17}}, rows=300)
     assert len(answers[0]) > 100 and answers[0] == answers[1]
 
 
@@ -255,7 +255,7 @@
         budget.memory.release("others", budget.memory.limit - 100)
         assert (await client.query("SELECT count(*) FROM stock")).error is None
 
-    play(test)
+    run_in_world(test)
 
 
 def test_concurrent_large_answers_stay_within_the_memory_limit_and_are_complete():
@@ -286,7 +286,7 @@
                 nursery.start_soon(run_query)
         assert budget.memory.used == budget.disk.used == 0 and not budget.factors
 
-    play(test, {"memory": {"limit_bytes": 1 << 18}}, rows=60)
+    run_in_world(test, {"memory": {"limit_bytes": 1 << 18}}, rows=60)
     complete_answers = [rows for error, rows in answers if not error]
     assert (
         len(complete_answers) > 12
@@ -311,7 +311,7 @@
         budget = world.root.core.row_storage.budget
         assert budget.memory.used == budget.disk.used == 0 and not budget.factors
 
-    play(test, {"memory": {"limit_bytes": 1 << 17}}, rows=300)
+    run_in_world(test, {"memory": {"limit_bytes": 1 << 17}}, rows=300)
 
 
 def test_partial_answer_names_missing_ranges_and_requires_a_class_that_allows_it():
@@ -330,7 +330,7 @@
             and "200..299, 1000..1099, 1800..1899" in partial_reply.notices[0].text
         )
 
-    play(test)
+    run_in_world(test)
 
 
 def test_query_beyond_the_maximum_of_open_queries_is_rejected():
@@ -344,7 +344,7 @@
         rejected_reply = await (await world.client()).query("SELECT count(*) FROM stock")
         assert rejected_reply.error.sqlstate == "53000"
 
-    play(test, {"root": {"most_queries": 4}})
+    run_in_world(test, {"root": {"most_queries": 4}})
 
 
 def test_part_is_retried_when_its_leaf_does_not_hold_the_range():
@@ -355,14 +355,14 @@
         for _ in range(20):
             assert (await client.query("SELECT count(*) FROM stock")).error is None
 
-    play(test)
+    run_in_world(test)
 
 
 def test_demo_roster_lists_every_leaf_as_up():
     async def test(world):
         assert {entry["state"] for entry in world.fleet.roster(demo.CELLS)} == {"up"}
 
-    play(test)
+    run_in_world(test)
 
 
 def test_statement_waiting_for_a_connection_is_not_sent_once_its_leaf_is_draining():
@@ -380,13 +380,13 @@
         await client.send(wire.query("SELECT count(*) FROM stock"))
         await trio.sleep(0.1)
         world.fleet.states["leaf-2"] = "draining"
-        world.tell()
+        world.publish_roster()
         reply = await client.reply()
         assert reply.error is None and reply.rows == [[b"240"]]
         await trio.sleep(2)
-        assert not [event for event in world.arrived("stock") if event.leaf == "leaf-2"]
+        assert not [event for event in world.arrivals("stock") if event.leaf == "leaf-2"]
 
-    play(test)
+    run_in_world(test)
 
 
 @pytest.mark.parametrize("where", ["connection", "commit"])
@@ -412,16 +412,16 @@
             on_send(dataclasses.replace(send, retry_window_us=100_000)),
             core.parts[send.part].sent_us_by_attempt.update({-1: core.dispatcher.now_us}),
         )
-        seen_count = len(world.seen)
+        seen_count = len(world.leaf_events)
         assert (await client.query(INSERT_HOLD)).error is not None
         await trio.sleep(5)
-        statements = world.seen[seen_count:]
+        statements = world.leaf_events[seen_count:]
         assert count_holds(world) == 0 and not [
             event for event in statements if event.what == "commit" or "COMMIT" in event.text
         ]
         assert bool(statements) == (where == "commit")
 
-    play(test)
+    run_in_world(test)
 
 
 def test_part_of_a_disconnected_client_is_left_out_of_a_shared_call():
@@ -441,9 +441,9 @@
         leaving_client.close()
         assert (await other_client.reply()).rows == [[b"240"]]
         await trio.sleep(2)
-        assert not [event for event in world.arrived("stock") if "id:one" in event.values]
+        assert not [event for event in world.arrivals("stock") if "id:one" in event.values]
 
-    play(test)
+    run_in_world(test)
 
 
 def test_connection_to_the_old_address_of_a_leaf_is_not_reused():
@@ -456,7 +456,7 @@
         old_address, new_address = leaf.s.address, "elsewhere:1"
         world.network.listeners[new_address] = world.network.listeners[old_address]
         leaf.s.address = new_address
-        world.tell()
+        world.publish_roster()
         assert (await client.reply()).error is None
         await trio.sleep(1)
         assert all(
@@ -464,7 +464,7 @@
             for connection in world.root.leaves.leaves["leaf-2"].idle
         )
 
-    play(test)
+    run_in_world(test)
 
 
 def serve_scripted_leaf(world, name, behavior):
@@ -487,7 +487,7 @@
 
     world.nursery.start_soon(serve)
     world.fleet.leaves[name].s.address = "scripted:1"
-    world.tell()
+    world.publish_roster()
 
 
 async def send_half_a_row(stream):
@@ -539,7 +539,7 @@
             assert reply.error is None and reply.rows == [[b"240"]], reply
         assert world.root.leaves.leaves["leaf-6"].open <= 8
 
-    play(test)
+    run_in_world(test)
 
 
 def test_idle_clients_are_disconnected_after_their_timeout():
@@ -553,7 +553,7 @@
         await trio.sleep(11)
         assert not world.root.front.clients
 
-    play(test, {"front": {"idle_s": 10.0}})
+    run_in_world(test, {"front": {"idle_s": 10.0}})
 
 
 def leaves_with_failures(world):
@@ -605,7 +605,7 @@
         assert {end.result for end in ends} == {interface.Result.OK, interface.Result.CANCELLED}
         assert not leaves_with_failures(world)
 
-    play(test, work_ms=0.3, rows=250)
+    run_in_world(test, work_ms=0.3, rows=250)
 
 
 def test_error_caused_by_the_query_itself_counts_only_against_stuck_leaves():
@@ -629,7 +629,7 @@
             != set()
         )
 
-    play(test, work_ms=0.3, rows=250)
+    run_in_world(test, work_ms=0.3, rows=250)
 
 
 def test_attempt_superseded_while_connecting_does_not_count_against_its_leaf():
@@ -647,11 +647,11 @@
 
         for leaf in world.fleet.leaves.values():
             leaf.trouble.slow = 100
-        world.seen.clear()
+        world.leaf_events.clear()
         with record_attempts(world.root.core.balancer) as ends:
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(client.query, "SELECT count(*) FROM stock WHERE bin = 3")
-                while not world.arrived("stock"):
+                while not world.arrivals("stock"):
                     await trio.sleep(0.0001)
                 # Later attempts need a new connection, which opens slowly.
                 world.network.open = open_slowly
@@ -663,4 +663,4 @@
         ] == [interface.Result.UNSENT]
         assert not leaves_with_failures(world)
 
-    play(test, work_ms=0.3, rows=250)
+    run_in_world(test, work_ms=0.3, rows=250)
