--- a/mothnotch/cli/day_commands.py
+++ b/mothnotch/cli/day_commands.py
@@ -1,7 +1,7 @@
-"""Commands that play a day of faults and judge it: badday, fleetday.
+"""Commands that run a scenario with faults and evaluate the rules on it: badday, fleetday.
 
-Each command imports the modules that play and judge only when it runs: the import is slow, and the
-other commands do not need it.
+Each command imports the modules for this only when it runs: the import is slow, and the other
+commands do not need it.
 """
 
 import sys
@@ -23,21 +23,21 @@
     bench_day: Path | None = None,
     seconds: float = 20.0,
 ):
-    """Play a bad day against real roots and check the six rules; exit with status 1 if one broke.
+    """Run a bad day against real roots and check the six rules; exit with status 1 if one broke.
 
-    A bad day is a workload with injected faults. SCRIPT is its file; the default is the built-in
-    day. --drawn generates the day from the seed. --bench-day takes the kinds of trouble from a
-    bench day file, over a day of --seconds. --virtual runs in memory on a virtual clock, where the
-    same seed gives the same day.
+    A bad day is a scenario of load and injected faults. SCRIPT is its file; the default is the
+    built-in scenario. --drawn generates it from the seed. --bench-day takes the kinds of fault from
+    a bench day file, over --seconds. --virtual runs in memory on a virtual clock, where the same
+    seed gives the same run.
     """
-    from mothnotch.cli.bad_day import choose_day, play_and_judge
+    from mothnotch.cli.bad_day import choose_scenario, run_and_evaluate
 
     seed = 1 if seed is None else seed
     if bench_day is not None:
-        day = choose_day(bench_day=bench_day, seconds=seconds)
+        scenario = choose_scenario(bench_day_path=bench_day, seconds=seconds)
     else:
-        day = choose_day(script=script, drawn_seed=seed if drawn else None)
-    if not play_and_judge(day, seed, virtual):
+        scenario = choose_scenario(script_path=script, drawn_seed=seed if drawn else None)
+    if not run_and_evaluate(scenario, seed, virtual):
         drawn_option = " --drawn" if drawn else ""
         print(f"replay: bin/mothnotch badday {script or ''} --seed {seed}{drawn_option} --virtual")
         sys.exit(1)
@@ -53,20 +53,25 @@
     without: str = "",
     json_file: Annotated[Path | None, cyclopts.Parameter(name="--json")] = None,
 ):
-    """Play a day of several roots with peers and faults between them; exit with status 1 if a rule
+    """Run a day of several roots with peers and faults between them; exit with status 1 if a rule
     or a bound broke.
 
-    DAY is the name of a built-in day (peers), or the file of a script. By default each root is a
-    process, with a relay on the link between each two; --virtual plays the day in memory. --breach
-    NAME plants a defect that the day has to detect; --breach list prints the names of the defects.
+    DAY is the name of a built-in scenario (peers), or the file of a script. By default each root is
+    a process, with a relay on the link between each two; --virtual runs in memory. --breach NAME
+    plants a defect that the rules have to detect; --breach list prints the names of the defects.
     --without PART (health, streams) disables a part. --json FILE stores the verdicts and figures.
     """
-    from mothnotch.cli.fleet_day import check_defects, choose_day, list_breaches, play_and_judge
+    from mothnotch.cli.fleet_day import (
+        check_defects,
+        choose_scenario,
+        list_defects,
+        run_and_evaluate,
+    )
 
-    script = choose_day(day)
+    scenario = choose_scenario(day)
     if breach == "list":
-        print("\n".join(list_breaches(day)))
+        print("\n".join(list_defects(day)))
         return
     check_defects(day, breach, without)
-    if not play_and_judge(script, day, seed, virtual, breach, without, json_file):
+    if not run_and_evaluate(scenario, day, seed, virtual, breach, without, json_file):
         sys.exit(1)
--- a/mothnotch/cli/fleet_day.py
+++ b/mothnotch/cli/fleet_day.py
@@ -1,4 +1,4 @@
-"""Select the script of a fleet day, play it, and print the verdicts."""
+"""Choose the scenario of a fleet day, run it, and print the verdicts."""
 
 import json
 from pathlib import Path
@@ -8,89 +8,91 @@
 from mothnotch.audit import peers as peer_audit
 from mothnotch.audit.rules import Verdict, evaluate_rules, served_worth
 from mothnotch.badday import fleet
-from mothnotch.badday import script as scripts
+from mothnotch.badday import script as scenarios
 from mothnotch.cli.application import exit_with_errors
-from mothnotch.cli.verdicts import print_verdicts, trouble_kinds
+from mothnotch.cli.verdicts import fault_kinds, print_verdicts
 from mothnotch.config import ConfigError
 
-# Limits on the breaches of a rule that are printed, and that are stored in the file of --json.
-MAX_BREACHES_PRINTED = 3
-MAX_BREACHES_IN_FILE = 100
-# The built-in day whose defects and optional parts also apply to scripts from files.
-DEFAULT_DAY = "peers"
+# Limits on the violations of a rule that are printed, and that are stored in the file of --json.
+MAX_VIOLATIONS_PRINTED = 3
+MAX_VIOLATIONS_IN_FILE = 100
+# The built-in scenario whose planted defects and removable parts also apply to scripts.
+DEFAULT_SCENARIO = "peers"
 
 
-def choose_day(day: str) -> scripts.Scenario:
-    """Return the built-in day of that name or the script in that file, or exit with status 2."""
+def choose_scenario(name: str) -> scenarios.Scenario:
+    """Return the built-in scenario of that name or the one in that file, or exit with status 2."""
     try:
-        script = scripts.FLEET_SCENARIOS.get(day) or scripts.load(
-            Path(day).read_text(encoding="utf-8"), day
+        scenario = scenarios.FLEET_SCENARIOS.get(name) or scenarios.load(
+            Path(name).read_text(encoding="utf-8"), name
         )
     except OSError as error:
-        known = ", ".join(scripts.FLEET_SCENARIOS)
+        known = ", ".join(scenarios.FLEET_SCENARIOS)
         exit_with_errors(
-            [f"{day}: not a built-in day ({known}), and cannot be read: {error.strerror}"]
+            [f"{name}: not a built-in day ({known}), and cannot be read: {error.strerror}"]
         )
     except ConfigError as error:
         exit_with_errors(error.errors)
-    if script.peers is None:
+    if scenario.peers is None:
         exit_with_errors(
-            [f"{day}: peers: not set; bin/mothnotch badday plays days of roots without peers"]
+            [f"{name}: peers: not set; bin/mothnotch badday plays days of roots without peers"]
         )
-    return script
+    return scenario
 
 
-def list_breaches(day: str) -> list[str]:
-    """Return the names of the defects that can be planted in the day."""
-    return list(scripts.PLANTED_DEFECTS.get(day, scripts.PLANTED_DEFECTS[DEFAULT_DAY]))
+def list_defects(name: str) -> list[str]:
+    """Return the names of the defects that can be planted in the scenario."""
+    return list(scenarios.PLANTED_DEFECTS.get(name, scenarios.PLANTED_DEFECTS[DEFAULT_SCENARIO]))
 
 
-def check_defects(day: str, breach: str, without: str) -> None:
-    """Exit with status 2 if the day does not support that breach, or leaving out that part."""
-    known = list_breaches(day)
-    if breach and breach not in known:
-        exit_with_errors([f"--breach {breach}: unknown; this day detects {', '.join(known)}"])
-    parts = scripts.REMOVABLE_PARTS.get(day, scripts.REMOVABLE_PARTS[DEFAULT_DAY])
-    if without and (without not in parts or breach):
+def check_defects(name: str, defect: str, removed_part: str) -> None:
+    """Exit with status 2 unless the scenario has that defect and can run without that part."""
+    known = list_defects(name)
+    if defect and defect not in known:
+        exit_with_errors([f"--breach {defect}: unknown; this day detects {', '.join(known)}"])
+    parts = scenarios.REMOVABLE_PARTS.get(name, scenarios.REMOVABLE_PARTS[DEFAULT_SCENARIO])
+    if removed_part and (removed_part not in parts or defect):
         exit_with_errors(
             [
-                f"--without {without}: this day can be played without {', '.join(parts)}, "
+                f"--without {removed_part}: this day can be played without {', '.join(parts)}, "
                 "and only if --breach is not given"
             ]
         )
 
 
-def play_and_judge(
-    script: scripts.Scenario,
-    day: str,
+def run_and_evaluate(
+    scenario: scenarios.Scenario,
+    name: str,
     seed: int,
     virtual: bool,
-    breach: str,
-    without: str,
+    defect: str,
+    removed_part: str,
     json_file: Path | None,
 ) -> bool:
-    """Play the day, print the verdicts, and return whether all rules and bounds held.
+    """Run the scenario, print the verdicts, and return whether all rules and bounds held.
 
-    `breach` and `without` have passed check_defects; an empty string means none.
+    `defect` and `removed_part` have passed check_defects; an empty string means none.
     """
-    script = msgspec.structs.replace(script, breach=f"without_{without}" if without else breach)
+    scenario = msgspec.structs.replace(
+        scenario, breach=f"without_{removed_part}" if removed_part else defect
+    )
     play = fleet.play_virtual if virtual else fleet.play_sockets
-    record, views = play(script, seed)
+    record, views = play(scenario, seed)
     verdicts = evaluate_rules(record) + peer_audit.evaluate_rules(views)
-    defect_note = f", planted: {breach}" if breach else ""
+    defect_note = f", planted: {defect}" if defect else ""
     print(
-        f"{day}, seed {seed}, {'virtual' if virtual else 'processes'}, {script.roots} roots, "
-        f"{script.seconds:g} s, troubles: {trouble_kinds(script)}{defect_note}"
+        f"{name}, seed {seed}, {'virtual' if virtual else 'processes'}, {scenario.roots} roots, "
+        f"{scenario.seconds:g} s, troubles: {fault_kinds(scenario)}{defect_note}"
     )
-    print_verdicts(verdicts, rule_width=40, max_breaches=MAX_BREACHES_PRINTED)
+    print_verdicts(verdicts, rule_width=40, max_violations=MAX_VIOLATIONS_PRINTED)
     figures = peer_audit.detection_times(views)
     served = served_worth(record).get("all", 0.0)
     if json_file is not None:
         result = {
-            "day": day,
+            "day": name,
             "seed": seed,
             "virtual": virtual,
-            "breach": breach,
+            "breach": defect,
             "served": served,
             "figures": figures,
             "verdicts": [_verdict_as_json(verdict) for verdict in verdicts],
@@ -111,5 +113,5 @@
     return {
         "rule": verdict.rule,
         "checked": verdict.checked,
-        "breaches": verdict.violations[:MAX_BREACHES_IN_FILE],
+        "breaches": verdict.violations[:MAX_VIOLATIONS_IN_FILE],
     }
--- a/mothnotch/cli/verdicts.py
+++ b/mothnotch/cli/verdicts.py
@@ -1,4 +1,4 @@
-"""Print the verdicts on a played day."""
+"""Print the verdicts of the rules on a scenario that was run."""
 
 from collections.abc import Iterable
 
@@ -6,16 +6,16 @@
 from mothnotch.badday.script import Scenario
 
 
-def print_verdicts(verdicts: Iterable[Verdict], rule_width: int, max_breaches: int) -> None:
-    """Print a line for each rule, followed by its first breaches."""
+def print_verdicts(verdicts: Iterable[Verdict], rule_width: int, max_violations: int) -> None:
+    """Print a line for each rule, followed by its first violations."""
     for verdict in verdicts:
-        breaches = verdict.violations
+        violations = verdict.violations
         rule = verdict.rule.ljust(rule_width)
-        print(f"  {rule} {verdict.checked:6} checked {len(breaches):4} broken")
-        for line in breaches[:max_breaches]:
+        print(f"  {rule} {verdict.checked:6} checked {len(violations):4} broken")
+        for line in violations[:max_violations]:
             print(f"      {line}")
 
 
-def trouble_kinds(day: Scenario) -> str:
-    """Return the kinds of the troubles of the day, separated by commas."""
-    return ", ".join(trouble.kind for trouble in day.troubles) or "none"
+def fault_kinds(scenario: Scenario) -> str:
+    """Return the kinds of the faults in the scenario, separated by commas."""
+    return ", ".join(fault.kind for fault in scenario.troubles) or "none"
