--- a/mothnotch/audit/__init__.py
+++ b/mothnotch/audit/__init__.py
@@ -1,3 +1,1 @@
-"""Judges the six rules of the brief from what clients and leaves recorded, never from the root's
-word.
-"""
+"""Checks the rules on what clients and leaves recorded, never on what the root itself reports."""
--- a/mothnotch/audit/defects.py
+++ b/mothnotch/audit/defects.py
@@ -1,7 +1,7 @@
-"""Breaches planted on purpose, one a rule at least: the auditor has to catch each of them.
+"""Planted defects, at least one for each rule; the audit has to detect each of them.
 
-They are switched on by a script's `breach` and reach into a root, or the leaves, the way a defect
-would.
+The `breach` of a scenario selects one by its name, which is the name of a function here. A defect
+patches a root, or the leaves, so that they behave as if the code had that defect.
 """
 
 import dataclasses
@@ -11,27 +11,28 @@
 
 
 def plant(name, root):
-    """Breaks a root that has not started, or leaves out a part of it (`without_PART`)."""
+    """Plant a defect in a root before it starts, or disable a part of it (`without_PART`)."""
     if name:
-        ROOTS.get(name, lambda root: None)(root)
+        ROOT_DEFECTS.get(name, lambda root: None)(root)
 
 
-def plant_in_leaves(name, day):
+def plant_in_leaves(name, run):
+    """Plant a defect in the leaves of a scenario run."""
     if name == "keys_dropped":
-        day.store.broken_keys = True
+        run.store.broken_keys = True
 
 
 def late_sends(root):
-    """Sends a part again after its query was answered."""
+    """Send a part again after its query was answered."""
     core, close = root.core, root.core.close
 
-    def closing(query, outcome):
+    def close_and_resend(query, outcome):
         close(query, outcome)
         part = query.parts[0]
         if part.attempt_count and part.rows is not None:
             server = next(iter(root.leaves.leaves))
 
-            class Late(Attempt):
+            class LateAttempt(Attempt):
                 def complete(self, result, rows=None, report=None):
                     self.ended = True
 
@@ -39,13 +40,14 @@
                     pass
 
             root.leaves.nursery.start_soon(
-                later, root, server, Late(core, part, 99, server, 500_000)
+                send_after_delay, root, server, LateAttempt(core, part, 99, server, 500_000)
             )
 
-    core.close = closing
+    core.close = close_and_resend
 
 
-async def later(root, server, attempt):
+async def send_after_delay(root, server, attempt):
+    """Send an attempt 50 ms later."""
     import trio
 
     await trio.sleep(0.05)
@@ -53,48 +55,48 @@
 
 
 def ignores_drains(root):
-    """Takes every leaf that is named for one that is up."""
-    news = root.core.on_watch_event
+    """Treat every listed leaf as up."""
+    on_watch_event = root.core.on_watch_event
 
-    def told(event):
-        news(
+    def treat_as_up(event):
+        on_watch_event(
             dataclasses.replace(
                 event, entries=tuple(dataclasses.replace(e, state="up") for e in event.entries)
             )
         )
 
-    follow = root.leaves.update_endpoints
-    root.leaves.update_endpoints = lambda addresses, closing: follow(
+    update = root.leaves.update_endpoints
+    root.leaves.update_endpoints = lambda addresses, closing: update(
         {**{n: x.address for n, x in root.leaves.leaves.items()}, **addresses}
     )
-    root.core.on_watch_event = told
+    root.core.on_watch_event = treat_as_up
 
 
 def late_news(root):
-    """Acts on what the catalogue told it half a second late."""
+    """Apply updates from the catalogue half a second late."""
     publish = root.watch.publish
 
-    async def later():
+    async def publish_later():
         import trio
 
         await trio.sleep(0.5)
         publish()
 
-    root.watch.publish = lambda: root.leaves.nursery.start_soon(later)
+    root.watch.publish = lambda: root.leaves.nursery.start_soon(publish_later)
 
 
 def half_as_whole(root):
-    """Answers from less than the class's least share, and says nothing of what is missing."""
+    """Answer from less than the minimum share of the class, without naming the missing ranges."""
     settings = root.core.balancer.settings
-    for name, kind in settings.classes.items():
-        if kind.idempotency is i.Idempotency.IDEMPOTENT:
+    for name, request_class in settings.classes.items():
+        if request_class.idempotency is i.Idempotency.IDEMPOTENT:
             settings.classes[name] = dataclasses.replace(
-                kind, min_answer_weight=0.2, complete_weight=0.5
+                request_class, min_answer_weight=0.2, complete_weight=0.5
             )
 
 
 def many_attempts(root):
-    """Knows of no budget, and copies early."""
+    """Ignore the retry budget, and hedge early."""
     limits = root.core.balancer.retry_limits
     limits.rules = dataclasses.replace(limits.rules, retry_budget_ratio=None)
     limits.bucket.size = limits.bucket.tokens = 10_000
@@ -102,9 +104,9 @@
 
 
 def no_cold(root):
-    """Takes a leaf that has just started for one long up."""
-    news = root.core.on_watch_event
-    root.core.on_watch_event = lambda event: news(
+    """Treat a leaf that has just started as one that has been up for long."""
+    on_watch_event = root.core.on_watch_event
+    root.core.on_watch_event = lambda event: on_watch_event(
         dataclasses.replace(
             event, entries=tuple(dataclasses.replace(e, started_us=0) for e in event.entries)
         )
@@ -112,104 +114,104 @@
 
 
 def silent(root):
-    """Does not pass on refusals: those clients hear nothing in time."""
+    """Send no refusals and no errors, so that those clients get no reply in time."""
     root.core.handlers[i.Reject] = root.core.handlers[i.Fail] = lambda action: None
     root.core.enforce_deadlines = False
 
 
 def double(root):
-    """Answers every eighth statement twice."""
+    """Send the answer to every eighth statement twice."""
     from mothnotch.fronts import pg
 
-    async def client(stream):
-        made = pg.Client(root.front, stream)
-        run, count = made.on_execute, [0]
+    async def serve_client(stream):
+        client = pg.Client(root.front, stream)
+        on_execute, count = client.on_execute, [0]
 
-        async def twice(event):
+        async def execute_and_repeat(event):
             count[0] += 1
-            before = len(made.out)
-            await run(event)
+            before = len(client.out)
+            await on_execute(event)
             if count[0] % 8 == 0:
-                made.out += made.out[before:]
+                client.out += client.out[before:]
 
-        made.on_execute = twice
-        await made.run()
+        client.on_execute = execute_and_repeat
+        await client.run()
 
-    root.front.client = client
+    root.front.client = serve_client
 
 
 def old_life(root):
-    """Believes an old life's word: of two lives, the one that speaks last counts."""
+    """Believe claims of old incarnations: of two incarnations, the last one heard counts."""
 
-    def made(talk):
-        view, believe = talk.swim.membership, talk.swim.membership.apply_claim
-        view.incarnation_of = lambda name: None
+    def patch(protocol):
+        membership, apply_claim = protocol.swim.membership, protocol.swim.membership.apply_claim
+        membership.incarnation_of = lambda name: None
 
-        def trusting(claim, now, direct=False):
-            peer = view.members.get(claim.name)
+        def apply_any_claim(claim, now, direct=False):
+            peer = membership.members.get(claim.name)
             if peer is not None and claim.incarnation < peer.claim.incarnation:
-                del view.members[claim.name]
-            believe(claim, now, direct)
+                del membership.members[claim.name]
+            apply_claim(claim, now, direct)
 
-        view.apply_claim = trusting
+        membership.apply_claim = apply_any_claim
 
-    root.peers.on_protocol_created = made
+    root.peers.on_protocol_created = patch
 
 
 def young_facts(root):
-    """Counts a fact's age from when it came."""
+    """Count the age of a fact from its arrival."""
 
-    def made(talk):
-        take = talk.store.receive
-        talk.store.receive = lambda facts, transit, now, life_of: take(
-            [dataclasses.replace(f, age_us=0) for f in facts], 0, now, life_of
+    def patch(protocol):
+        receive = protocol.store.receive
+        protocol.store.receive = lambda facts, transit, now, incarnation_of: receive(
+            [dataclasses.replace(f, age_us=0) for f in facts], 0, now, incarnation_of
         )
 
-    root.peers.on_protocol_created = made
+    root.peers.on_protocol_created = patch
 
 
 def never_gone(root):
-    """Waits for ever for a root that is dead."""
+    """Never declare a dead root gone."""
 
-    def made(talk):
-        talk.swim.membership.expire = lambda now: None
-        talk.swim.membership.on_claim = lambda claim, by, now: None
+    def patch(protocol):
+        protocol.swim.membership.expire = lambda now: None
+        protocol.swim.membership.on_claim = lambda claim, by, now: None
 
-    root.peers.on_protocol_created = made
+    root.peers.on_protocol_created = patch
 
 
 def hasty(root):
-    """Holds whoever it suspects for gone at once, and asks nobody else first."""
+    """Declare a suspected root gone at once, without indirect probes through other roots."""
 
-    def made(talk):
-        view, detector = talk.swim.membership, talk.swim.failure_detector
+    def patch(protocol):
+        membership, detector = protocol.swim.membership, protocol.swim.failure_detector
 
         def check_probe(now, out):
             probe, detector.probe = detector.probe, None
-            peer = view.members.get(probe.name) if probe is not None else None
+            peer = membership.members.get(probe.name) if probe is not None else None
             if peer is not None:
-                view.apply_claim(dataclasses.replace(peer.claim, state="gone"), now)
+                membership.apply_claim(dataclasses.replace(peer.claim, state="gone"), now)
 
         detector.check_probe = check_probe
 
-    root.peers.on_protocol_created = made
+    root.peers.on_protocol_created = patch
 
 
 def without_health(root):
-    """Lifeguard's local health is off: a root does not doubt itself."""
+    """Disable Lifeguard's local health, by which a root lengthens its own timeouts."""
     root.peers.settings = dataclasses.replace(root.peers.settings, local_health=False)
 
 
 def without_streams(root):
-    """Nothing is exchanged over streams: what roots know of each other comes by datagrams alone."""
+    """Disable the exchange over streams, so that roots learn of each other by datagrams only."""
 
-    def made(talk):
-        talk.choose_sync_partner = lambda now: None
+    def patch(protocol):
+        protocol.choose_sync_partner = lambda now: None
 
-    root.peers.on_protocol_created = made
+    root.peers.on_protocol_created = patch
 
 
-ROOTS = {
+ROOT_DEFECTS = {
     f.__name__: f
     for f in (
         late_sends,
--- a/mothnotch/audit/peers.py
+++ b/mothnotch/audit/peers.py
@@ -1,7 +1,7 @@
-"""What a fleet day's roots believed of one another, held against what was done to them.
+"""Rules on what the roots of a fleet day believe of one another, given the faults injected.
 
-Pure: the record holds what was done, and when, and what each root's view said, several times a
-second.
+The functions are pure: the record holds which faults were injected and when, and each root's view
+of the fleet, sampled several times a second.
 """
 
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 @dataclass(slots=True)
 class ViewSample:
-    """One root's view at a time: between `asked` and `at` it was so. Seconds of the day's clock."""
+    """A root's view as it was between `asked` and `at`, in seconds of the day's clock."""
 
     root: int
     asked: float
@@ -21,198 +21,218 @@
 
 @dataclass(slots=True)
 class PeersRecord:
-    root_names: list = field(default_factory=list)  # by number
+    """The views and the fault intervals of a fleet day. The bounds are in seconds."""
+
+    root_names: list = field(default_factory=list)  # by number of the root
     samples: list = field(default_factory=list)  # ViewSample
-    down_intervals: list = field(default_factory=list)  # (root, from, to): it did not run
-    paused_intervals: list = field(default_factory=list)  # (root, from, to): it stood still
-    cut_intervals: list = field(
-        default_factory=list
-    )  # (root, other, from, to): nothing came from the one to the other
-    degraded_intervals: list = field(
-        default_factory=list
-    )  # (from, to): links lost or delayed more than they do
+    down_intervals: list = field(default_factory=list)  # (root, begin, end): not running
+    paused_intervals: list = field(default_factory=list)  # (root, begin, end): paused
+    # (source, target, begin, end): the directed link between the two roots was cut
+    cut_intervals: list = field(default_factory=list)
+    # (begin, end): links had additional loss or delay
+    degraded_intervals: list = field(default_factory=list)
     gone_bound_s: float = 8.0
     agreement_bound_s: float = 5.0
     fact_bound_s: float = 5.0
-    view_timeout_s: float = 2.0  # that a root is waited for, at most, when it is asked
+    view_timeout_s: float = 2.0  # limit on the wait for a root's view
+
 
+def overlaps_any(intervals, begin, end):
+    """Return whether one of the intervals overlaps the one from `begin` to `end`."""
+    return any(a < end and b > begin for a, b in intervals)
 
-def overlaps(spans, begin, end):
-    return any(a < end and b > begin for a, b in spans)
 
+def unreachable_intervals(record, n):
+    """Return when root n was down, paused, or cut off from every other root in some direction.
 
-def spans_of(record, n):
-    """When root n was not to be had: down, standing still, or cut off from all others on one way at
-    least. While one link alone is cut, others speak for it.
+    While only one of its links is cut, other roots vouch for it by indirect probes.
     """
     cut = [(m + o - n, a, b) for m, o, a, b in record.cut_intervals if n in (m, o)]
-    off = (
+    isolated = (
         [(a, b) for _, a, b in cut]
         if len({o for o, _, _ in cut}) == len(record.root_names) - 1
         else []
     )
     return [
         (a, b) for m, a, b in (*record.down_intervals, *record.paused_intervals) if m == n
-    ] + off
+    ] + isolated
 
 
-def sound_not_gone(record):
-    """Nobody holds a root for gone that was there, heard and reachable, all the time that a
-    suspicion may last.
-    """
-    out, checked = [], 0
-    for told in record.samples:
-        begin = told.asked - record.gone_bound_s - record.agreement_bound_s
-        for peer in told.view.peers:
+def check_no_false_positives(record):
+    """No root is held for gone that was running and reachable for as long as a suspicion lasts."""
+    violations, checked = [], 0
+    for sample in record.samples:
+        begin = sample.asked - record.gone_bound_s - record.agreement_bound_s
+        for peer in sample.view.peers:
             if peer.name not in record.root_names:
                 continue
             n = record.root_names.index(peer.name)
-            if any(overlaps(spans_of(record, m), begin, told.at) for m in (n, told.root)):
+            if any(
+                overlaps_any(unreachable_intervals(record, m), begin, sample.at)
+                for m in (n, sample.root)
+            ):
                 continue
             checked += 1
             if peer.state == "gone":
-                out.append(
-                    f"{told.view.name} holds {peer.name} for gone at {told.at:.2f} s, which was there all the time"
+                violations.append(
+                    f"{sample.view.name} holds {peer.name} for gone at {sample.at:.2f} s, "
+                    "but it was reachable"
                 )
-    return Verdict("sound roots are not held for gone", checked, out)
+    return Verdict("sound roots are not held for gone", checked, violations)
 
 
-def dead_are_gone(record):
-    """A root that has been down for the stated time is held for there by nobody."""
-    out, checked = [], 0
+def check_dead_roots_detected(record):
+    """Every root holds a root for gone that has been down for the stated bound."""
+    violations, checked = [], 0
     for n, begin, end in record.down_intervals:
-        for told in record.samples:
+        for sample in record.samples:
             if (
-                told.root == n
-                or not begin + record.gone_bound_s <= told.asked <= told.at <= end
-                or overlaps(spans_of(record, told.root), begin, told.at)
+                sample.root == n
+                or not begin + record.gone_bound_s <= sample.asked <= sample.at <= end
+                or overlaps_any(unreachable_intervals(record, sample.root), begin, sample.at)
             ):
                 continue
             checked += 1
-            if any(p.name == record.root_names[n] and p.state != "gone" for p in told.view.peers):
-                out.append(
-                    f"{told.view.name} holds {record.root_names[n]} for there at {told.at:.2f} s, down since {begin:.2f} s"
+            if any(p.name == record.root_names[n] and p.state != "gone" for p in sample.view.peers):
+                violations.append(
+                    f"{sample.view.name} does not hold {record.root_names[n]} for gone at "
+                    f"{sample.at:.2f} s, although it has been down since {begin:.2f} s"
                 )
-    return Verdict(f"dead roots are gone within {record.gone_bound_s:g} s", checked, out)
+    return Verdict(f"dead roots are gone within {record.gone_bound_s:g} s", checked, violations)
 
 
-def quiet_since(record, at):
-    """Whether nothing was wrong with anybody for `agreement_bound_s` before."""
-    spans = (
+def is_fault_free(record, at):
+    """Return whether no fault was active in the `agreement_bound_s` before."""
+    intervals = (
         [(a, b) for _, a, b in (*record.down_intervals, *record.paused_intervals)]
         + [(a, b) for _, _, a, b in record.cut_intervals]
         + record.degraded_intervals
     )
-    return not overlaps(spans, at - record.agreement_bound_s, at)
+    return not overlaps_any(intervals, at - record.agreement_bound_s, at)
 
 
-def all_agree(record):
-    """Once nothing is wrong any more, each holds all others for there, in the life that they have."""
-    out, checked, lives = [], 0, {}
-    for told in sorted(record.samples, key=lambda t: t.at):
-        lives[told.view.name] = told.view.incarnation
-        if not quiet_since(record, told.at):
+def check_agreement(record):
+    """Once no fault is active, each root holds all others for alive in their last incarnation."""
+    violations, checked, incarnations = [], 0, {}
+    for sample in sorted(record.samples, key=lambda s: s.at):
+        incarnations[sample.view.name] = sample.view.incarnation
+        if not is_fault_free(record, sample.at):
             continue
-        held = {p.name: p for p in told.view.peers}
+        peers = {p.name: p for p in sample.view.peers}
         for name in record.root_names:
-            if name == told.view.name:
+            if name == sample.view.name:
                 continue
             checked += 1
-            peer = held.get(name)
+            peer = peers.get(name)
             if (
                 peer is None
                 or peer.state != "alive"
-                or peer.incarnation < lives.get(name, peer.incarnation)
+                or peer.incarnation < incarnations.get(name, peer.incarnation)
             ):
-                out.append(
-                    f"{told.view.name} holds {name} for {peer.state if peer else 'nobody'} at {told.at:.2f} s"
+                violations.append(
+                    f"{sample.view.name} holds {name} for {peer.state if peer else 'nobody'} at "
+                    f"{sample.at:.2f} s"
                 )
-    return Verdict(f"all agree within {record.agreement_bound_s:g} s", checked, out)
+    return Verdict(f"all agree within {record.agreement_bound_s:g} s", checked, violations)
 
 
-def no_old_life(record):
-    """Who knew of a root's newer life never goes back to an older one, and shows no fact of it any
-    more.
+def check_incarnations(record):
+    """A root that knows a newer incarnation of another never returns to an older one, and shows no
+    facts of it.
     """
-    out, checked, newest = [], 0, {}
-    for told in sorted(record.samples, key=lambda t: t.at):
-        viewer = told.root, told.view.incarnation
-        for peer in told.view.peers:
+    violations, checked, newest = [], 0, {}
+    for sample in sorted(record.samples, key=lambda s: s.at):
+        viewer = sample.root, sample.view.incarnation
+        for peer in sample.view.peers:
             known = newest.setdefault((viewer, peer.name), peer.incarnation)
             checked += 1
             if peer.incarnation < known:
-                out.append(
-                    f"{told.view.name} went back to an older life of {peer.name} at {told.at:.2f} s"
+                violations.append(
+                    f"{sample.view.name} returned to an older incarnation of {peer.name} at "
+                    f"{sample.at:.2f} s"
                 )
             newest[viewer, peer.name] = max(known, peer.incarnation)
-        for fact in told.view.facts:
+        for fact in sample.view.facts:
             if fact.incarnation < newest.get((viewer, fact.origin), fact.incarnation):
-                out.append(
-                    f"{told.view.name} shows a fact of an older life of {fact.origin} at {told.at:.2f} s"
+                violations.append(
+                    f"{sample.view.name} shows a fact of an older incarnation of {fact.origin} at "
+                    f"{sample.at:.2f} s"
                 )
-    return Verdict("no old life is believed", checked, out)
+    return Verdict("no old life is believed", checked, violations)
 
 
-def ages_bound(record):
-    """A fact is never older than its age says. `value` states when it was said."""
-    out, checked = [], 0
-    for told in record.samples:
-        for fact in told.view.facts:
+def check_fact_ages(record):
+    """A fact is never older than its stated age; its value is the time of its publication."""
+    violations, checked = [], 0
+    for sample in record.samples:
+        for fact in sample.view.facts:
             if fact.key != "day":
                 continue
             checked += 1
-            true = told.asked - float(fact.value)
-            if fact.age_us / 1e6 < true - 0.005:
-                out.append(
-                    f"{told.view.name} takes a fact of {fact.origin} for {fact.age_us / 1e6:.3f} s old, which is "
-                    f"{true:.3f}, at {told.at:.2f} s"
+            true_age = sample.asked - float(fact.value)
+            if fact.age_us / 1e6 < true_age - 0.005:
+                violations.append(
+                    f"{sample.view.name} takes a fact of {fact.origin} to be "
+                    f"{fact.age_us / 1e6:.3f} s old, but it is {true_age:.3f} s old, at "
+                    f"{sample.at:.2f} s"
                 )
-    return Verdict("facts are no older than said", checked, out)
+    return Verdict("facts are no older than said", checked, violations)
 
 
-def facts_known(record):
-    """While nothing is wrong, each has heard what the others say anew each second."""
-    out, checked = [], 0
-    for told in record.samples:
-        if not quiet_since(record, told.asked):
+def check_facts_known(record):
+    """While no fault is active, each root has the facts that the others publish every second."""
+    violations, checked = [], 0
+    for sample in record.samples:
+        if not is_fault_free(record, sample.asked):
             continue
         for name in record.root_names:
-            if name == told.view.name:
+            if name == sample.view.name:
                 continue
             checked += 1
-            at = max(
-                (float(f.value) for f in told.view.facts if f.origin == name and f.key == "day"),
+            published_at = max(
+                (float(f.value) for f in sample.view.facts if f.origin == name and f.key == "day"),
                 default=None,
             )
-            if at is None or told.asked - at > 1 + record.fact_bound_s:
-                out.append(f"{told.view.name} has heard nothing new of {name} at {told.at:.2f} s")
-    return Verdict(f"facts are known within {record.fact_bound_s:g} s", checked, out)
+            if published_at is None or sample.asked - published_at > 1 + record.fact_bound_s:
+                violations.append(
+                    f"{sample.view.name} has no recent fact of {name} at {sample.at:.2f} s"
+                )
+    return Verdict(f"facts are known within {record.fact_bound_s:g} s", checked, violations)
 
 
-RULES = (sound_not_gone, dead_are_gone, all_agree, no_old_life, ages_bound, facts_known)
+RULES = (
+    check_no_false_positives,
+    check_dead_roots_detected,
+    check_agreement,
+    check_incarnations,
+    check_fact_ages,
+    check_facts_known,
+)
 
 
 def detection_times(record):
-    """{name: seconds} of the day's last line: the longest until the first, and until all, held a
-    dead root for gone.
+    """Return the longest times, in seconds, until a dead root was held for gone.
+
+    They are measured up to the first root that did so, and up to the last one.
     """
     first, last = [0.0], [0.0]
     for n, begin, end in record.down_intervals:
-        found = {}  # viewer -> when it was first seen to hold it for gone
-        for told in sorted(record.samples, key=lambda t: t.at):
+        delays = {}  # root -> time until it was first seen to hold root n for gone
+        for sample in sorted(record.samples, key=lambda s: s.at):
             if (
-                told.root != n
-                and begin < told.asked
-                and told.at < end
+                sample.root != n
+                and begin < sample.asked
+                and sample.at < end
                 and any(
-                    p.name == record.root_names[n] and p.state == "gone" for p in told.view.peers
+                    p.name == record.root_names[n] and p.state == "gone" for p in sample.view.peers
                 )
             ):
-                found.setdefault(told.root, told.at - begin)
-        first += [min(found.values())] if found else []
-        last += [max(found.values())] if found else []
+                delays.setdefault(sample.root, sample.at - begin)
+        first += [min(delays.values())] if delays else []
+        last += [max(delays.values())] if delays else []
     return {"first_gone_s": max(first), "all_gone_s": max(last)}
 
 
 def evaluate_rules(record):
+    """Return the verdicts of all rules on a fleet day."""
     return [rule(record) for rule in RULES]
