--- a/mothnotch/bench.py
+++ b/mothnotch/bench.py
@@ -68,9 +68,9 @@
                 if not data:
                     raise EOFError
                 self.wire.receive(data)
-            elif type(event) is wire.Row:
+            elif type(event) is wire.DataRow:
                 rows.append(event.values)
-            elif type(event) is wire.Ready:
+            elif type(event) is wire.ReadyForQuery:
                 return rows
 
     async def query_shard(self, shard):
--- a/mothnotch/daemon.py
+++ b/mothnotch/daemon.py
@@ -14,7 +14,7 @@
 from mothnotch.consul.registrar import Registrar
 from mothnotch.consul.watch import ConsulWatch
 from mothnotch.decisions.memory_budget import MemoryBudget
-from mothnotch.fronts.pg import PgFront
+from mothnotch.fronts.pg import PgFrontend
 from mothnotch.fronts.session import Service
 from mothnotch.leaves.pool import LeafPools
 from mothnotch.merge.holding import Holding
@@ -63,7 +63,7 @@
         schema = config.schema()
         planner = Planner(schema, config.front.plans)
         self.service = Service(self.core, planner, schema, config, self._run_name)
-        self.front = PgFront(self.service, config, network, log, random)
+        self.front = PgFrontend(self.service, config, network, log, random)
         # The addresses listened on, once the root serves.
         self.addresses: list[str] = []
         self.peers: PeerService | None = None
--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -120,7 +120,7 @@
             "ERROR", error.sqlstate, error.text, getattr(error, "detail", ""), error.hint
         )
         self.out += b.error(fields)
-        self.wire.failed(extended)
+        self.wire.on_error_sent(extended)
 
     # ---- startup ----
 
@@ -176,7 +176,7 @@
             if type(event) is wire.CancelRequest:
                 front.cancel(event)
                 return False
-            if type(event) is not wire.Decline:
+            if type(event) is not wire.EncryptionRequest:
                 break
             declined += 1
             if declined > 2:
@@ -186,7 +186,7 @@
         if parameters.get("replication", "false").lower() not in ("false", "off", "no", "0"):
             raise ProtocolError("replication connections are not taken", "0A000")
         user, database = parameters["user"], parameters["database"]
-        self.out += self.wire.negotiation(parameters)
+        self.out += self.wire.negotiate_version(parameters)
         if front.config.auth.method == "trust":
             self.out += b.AUTH_OK
         else:
@@ -199,10 +199,10 @@
                     raise auth.AuthenticationError("the client left during authentication")
                 reply, done = scram.step(event)
                 self.out += reply
-        self.wire.accepted()
-        pid, secret = wire.secret_pair(front.random(8))
+        self.wire.on_authenticated()
+        pid, secret = wire.key_data_from_random(front.random(8))
         while pid in front.clients or pid == 0:
-            pid, secret = wire.secret_pair(front.random(8))
+            pid, secret = wire.key_data_from_random(front.random(8))
         self.secret = secret
         self.session = Session(front.service, user, database, pid)
         for name, value in parameters.items():
@@ -544,7 +544,7 @@
     return b.Column(name, oid, t.SIZES.get(oid, -1), format)
 
 
-class PgFront:
+class PgFrontend:
     """All connections of the front. `random(n)` gives n bytes for secrets, a seeded source under a
     virtual clock.
     """
@@ -561,7 +561,7 @@
         self.verifiers = {}
         if config.auth.method != "trust":
             self.verifiers = {
-                user: auth.stored(password) for user, password in config.auth.users.items()
+                user: auth.make_verifier(password) for user, password in config.auth.users.items()
             }
 
     def cancel(self, event):
--- a/mothnotch/leaves/connection.py
+++ b/mothnotch/leaves/connection.py
@@ -64,20 +64,20 @@
         scram = None
         while True:
             event = await self._receive()
-            if type(event) is client.Auth and event.code:
+            if type(event) is client.Authentication and event.code:
                 scram = await self._authenticate(event, scram, parameters["user"], password)
-            elif type(event) is client.KeyData:
+            elif type(event) is client.BackendKeyData:
                 self.pid = event.pid
                 self.secret = event.secret
-            elif type(event) is client.Failed:
+            elif type(event) is client.ErrorResponse:
                 raise ConnectionRejectedError(event.fields)
-            elif type(event) is client.Ready:
+            elif type(event) is client.ReadyForQuery:
                 return
 
     async def _authenticate(self, event, scram, user, password):
         """Answer an authentication request; return the SCRAM client, None if there is none yet."""
         if event.code == _SASL and password is not None:
-            scram = auth.client(user, password)
+            scram = auth.make_scram_client(user, password)
             first = client.sasl_initial(auth.MECHANISM, scram.get_client_first())
             await self.stream.send_all(first)
         elif event.code == _SASL_CONTINUE and scram:
--- a/mothnotch/leaves/read_exchange.py
+++ b/mothnotch/leaves/read_exchange.py
@@ -47,13 +47,13 @@
         """Process one event; return the bytes to send, always none."""
         attempt = self.attempts[self._position]
         kind = type(event)
-        if kind is client.Row:
+        if kind is client.DataRow:
             attempt.add_row(event.values, event.size)
-        elif kind is client.Complete:
+        elif kind is client.CommandComplete:
             self._rows.tags.append(event.tag)
-        elif kind is client.Failed:
+        elif kind is client.ErrorResponse:
             self._error = event.fields
-        elif kind is client.Ready:
+        elif kind is client.ReadyForQuery:
             self._end_attempt(attempt)
         return b""
 
--- a/mothnotch/leaves/write_exchange.py
+++ b/mothnotch/leaves/write_exchange.py
@@ -71,18 +71,18 @@
     def receive(self, event) -> bytes:
         """Process one event; return the bytes to send: those of the next round trip, or none."""
         kind = type(event)
-        if kind is client.Row:
+        if kind is client.DataRow:
             self._answer_bytes += event.size
             # Above the limit the write is rolled back at the end of the round trip.
             if self._answer_bytes <= 2 * _ANSWER_LIMIT_BYTES:
                 self._rows.rows.append(event.values)
-        elif kind is client.Complete:
+        elif kind is client.CommandComplete:
             self._completed_tags.append(event.tag)
             self._answers.append(self._rows)
             self._rows = Rows(tags=[])
-        elif kind is client.Failed:
+        elif kind is client.ErrorResponse:
             self._error = self._error or event.fields
-        elif kind is client.Ready:
+        elif kind is client.ReadyForQuery:
             out = self._on_round_trip_end()
             self._reset_round_trip()
             return out
--- a/mothnotch/pgwire/auth.py
+++ b/mothnotch/pgwire/auth.py
@@ -17,13 +17,16 @@
     """Wrong password, unknown user, or a broken exchange: the client is told 28P01 and no more."""
 
 
-def stored(password, salt=None, iterations=4096):
+def make_verifier(password, salt=None, iterations=4096):
     """What is kept of a password: (salt, stored key, server key, iterations)."""
     return ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=iterations, salt=salt)
 
 
 class ScramServer:
-    """One exchange. `lookup(user)` gives what `stored` gave, or None for a user not known."""
+    """The server side of one SCRAM exchange.
+
+    `lookup(user)` returns what `make_verifier` returned, or None if the user is unknown.
+    """
 
     def __init__(self, user, lookup):
         found = lookup(user)
@@ -31,7 +34,7 @@
         # An unknown user goes through the same steps, so that time and messages do not tell who
         # exists.
         self.server = ScramMechanism(MECHANISM).make_server(
-            lambda _: found or stored("\0unknown", b"0" * 16)
+            lambda _: found or make_verifier("\0unknown", b"0" * 16)
         )
         self.first = True
 
@@ -60,6 +63,6 @@
             raise AuthenticationError("password authentication failed") from error
 
 
-def client(user, password):
+def make_scram_client(user, password):
     """The client's side, for connections to leaves."""
     return ScramClient([MECHANISM], user, password)
--- a/mothnotch/pgwire/client.py
+++ b/mothnotch/pgwire/client.py
@@ -80,7 +80,7 @@
 
 
 @dataclass(slots=True)
-class Auth:
+class Authentication:
     """0 is OK, 10 to 12 are SASL's steps."""
 
     code: int
@@ -88,34 +88,34 @@
 
 
 @dataclass(slots=True)
-class KeyData:
+class BackendKeyData:
     pid: int
     secret: int
 
 
 @dataclass(slots=True)
-class Columns:
+class RowDescription:
     columns: list
 
 
 @dataclass(slots=True)
-class Row:
+class DataRow:
     values: list
     size: int  # bytes of the message
 
 
 @dataclass(slots=True)
-class Complete:
+class CommandComplete:
     tag: str
 
 
 @dataclass(slots=True)
-class Failed:
+class ErrorResponse:
     fields: b.ErrorFields
 
 
 @dataclass(slots=True)
-class Ready:
+class ReadyForQuery:
     status: str
 
 
@@ -124,7 +124,7 @@
     (completions, notices, settings) are passed over; an unknown one is a ProtocolError.
     """
 
-    QUIET = frozenset(b"123nNSAsItv")  # type bytes
+    IGNORED_TYPES = frozenset(b"123nNSAsItv")  # type bytes
 
     def __init__(self, message_limit):
         self.framer = Framer(message_limit, startup=False)
@@ -136,7 +136,7 @@
         # The framer's work, done in place: a root reads five messages for each part, and three of
         # them are quiet.
         framer = self.framer
-        buffer, at, limit, quiet = framer.buffer, framer.at, framer.limit, self.QUIET
+        buffer, at, limit, quiet = framer.buffer, framer.at, framer.limit, self.IGNORED_TYPES
         size = len(buffer)
         while size - at >= 5:
             length = INT32.unpack_from(buffer, at + 1)[0]
@@ -155,19 +155,19 @@
 
     def read(self, kind, body):
         if kind == 0x44:  # D
-            return Row(b.read_data_row(body), len(body))
+            return DataRow(b.read_data_row(body), len(body))
         if kind == 0x43:  # C
-            return Complete(Reader(body, "CommandComplete").string())
+            return CommandComplete(Reader(body, "CommandComplete").string())
         if kind == 0x5A:  # Z
-            return Ready(Reader(body, "ReadyForQuery").byte().decode("latin-1"))
+            return ReadyForQuery(Reader(body, "ReadyForQuery").byte().decode("latin-1"))
         if kind == 0x45:  # E
-            return Failed(b.read_fields(body))
+            return ErrorResponse(b.read_fields(body))
         if kind == 0x54:  # T
-            return Columns(b.read_row_description(body))
+            return RowDescription(b.read_row_description(body))
         if kind == 0x52:  # R
             r = Reader(body, "Authentication")
-            return Auth(r.int32(), r.rest())
+            return Authentication(r.int32(), r.rest())
         if kind == 0x4B:  # K
             r = Reader(body, "BackendKeyData")
-            return KeyData(r.uint32(), r.uint32())
+            return BackendKeyData(r.uint32(), r.uint32())
         raise ProtocolError(f"message type {bytes([kind])!r} is not one a server sends here")
--- a/mothnotch/pgwire/server.py
+++ b/mothnotch/pgwire/server.py
@@ -23,7 +23,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Decline:
+class EncryptionRequest:
     """SSLRequest or GSSENCRequest: one byte is the answer."""
 
     what: str
@@ -253,7 +253,7 @@
                 raise ProtocolError(
                     "bytes came behind a request for encryption before it was answered"
                 )
-            return Decline("SSL" if code == SSL else "GSSAPI encryption")
+            return EncryptionRequest("SSL" if code == SSL else "GSSAPI encryption")
         if code >> 16 != 3:
             raise ProtocolError(
                 f"protocol version {code >> 16}.{code & 0xFFFF} is not spoken here; 3.0 is", "0A000"
@@ -272,23 +272,23 @@
         self.minor = code & 0xFFFF
         return Startup(parameters)
 
-    def negotiation(self, parameters):
+    def negotiate_version(self, parameters):
         """What to send first if the client asked for a newer minor version or options not known:
         maybe b"".
         """
         unknown = [name for name in parameters if name.startswith("_pq_.")]
         return b.negotiate(NEWEST_MINOR, unknown) if self.minor > NEWEST_MINOR or unknown else b""
 
-    def accepted(self):
+    def on_authenticated(self):
         """Authentication is over."""
         self.state = "ready"
 
-    def failed(self, extended):
+    def on_error_sent(self, extended):
         """An error was sent: in the extended protocol all is skipped up to the next Sync."""
         self.skipping = extended
 
 
-def secret_pair(raw):
+def key_data_from_random(raw):
     """(pid, secret) of eight random bytes; the pid stays positive, as drivers take it for a signed
     number.
     """
--- a/mothnotch/standins/client.py
+++ b/mothnotch/standins/client.py
@@ -32,7 +32,7 @@
 class ClientWire(client.ClientConnection):
     """As the root reads a leaf, but with the notices kept."""
 
-    QUIET = client.ClientConnection.QUIET - {0x4E}
+    IGNORED_TYPES = client.ClientConnection.IGNORED_TYPES - {0x4E}
 
     def read(self, kind, body):
         return b.read_fields(body, "NoticeResponse") if kind == 0x4E else super().read(kind, body)
@@ -74,17 +74,17 @@
         while True:
             event = await self.event()
             kind = type(event)
-            if kind is client.Row:
+            if kind is client.DataRow:
                 found.rows.append(event.values)
-            elif kind is client.Complete:
+            elif kind is client.CommandComplete:
                 found.tags.append(event.tag)
-            elif kind is client.Failed:
+            elif kind is client.ErrorResponse:
                 found.error = event.fields
             elif kind is b.ErrorFields:
                 found.notices.append(event)
-            elif kind is client.KeyData:
+            elif kind is client.BackendKeyData:
                 self.key = event
-            elif kind is client.Ready:
+            elif kind is client.ReadyForQuery:
                 found.status = event.status
                 return found
 
--- a/mothnotch/standins/leaf.py
+++ b/mothnotch/standins/leaf.py
@@ -170,7 +170,7 @@
 
     async def client(self, stream):
         raw = self.rng.getrandbits(64).to_bytes(8, "big")
-        _, secret = wire.secret_pair(raw)
+        _, secret = wire.key_data_from_random(raw)
         session = Session(next(self.pids), secret, stream, wire.ServerConnection(1 << 24))
         session.used = trio.current_time()
         try:
@@ -235,11 +235,11 @@
                 ):
                     victim.scope.cancel()
                 return
-            if kind is wire.Decline:
+            if kind is wire.EncryptionRequest:
                 out += b"N"
             elif kind is wire.Startup:
                 self.sessions[session.pid] = session
-                session.wire.accepted()
+                session.wire.on_authenticated()
                 out += b.AUTH_OK + b.parameter_status("server_version", "15.0 (stand-in)")
                 out += b.parameter_status("client_encoding", "UTF8") + b.parameter_status(
                     "DateStyle", "ISO, MDY"
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -31,7 +31,7 @@
     connection = server.ServerConnection(LIMIT)
     connection.receive(client.startup({"user": "a", **parameters}))
     assert type(connection.next_event()) is server.Startup
-    connection.accepted()
+    connection.on_authenticated()
     return connection
 
 
@@ -134,7 +134,7 @@
         + client.query("SELECT 1")
     )
     assert type(connection.next_event()) is server.Parse
-    connection.failed(True)
+    connection.on_error_sent(True)
     assert [type(e) for e in drain(connection)] == [server.Sync, server.Query]
 
 
@@ -143,9 +143,9 @@
     body = struct.pack("!I", 196610) + b"user\0a\0_pq_.new\0on\0\0"
     connection.receive(struct.pack("!i", len(body) + 4) + body)
     event = connection.next_event()
-    reply = connection.negotiation(event.parameters)
+    reply = connection.negotiate_version(event.parameters)
     assert reply[:1] == b"v" and b"_pq_.new" in reply
-    assert started().negotiation({"user": "a"}) == b""
+    assert started().negotiate_version({"user": "a"}) == b""
 
 
 VALUES = {
@@ -223,8 +223,8 @@
 def scram(password, offered, user="a"):
     """Whether an exchange lets a client with that password in, where `offered` is what is stored."""
     exchange, ours = (
-        auth.ScramServer(user, {"a": auth.stored(offered)}.get),
-        auth.client(user, password),
+        auth.ScramServer(user, {"a": auth.make_verifier(offered)}.get),
+        auth.make_scram_client(user, password),
     )
     reader = client.ClientConnection(LIMIT)
 
