--- a/mothnotch/leaves/call.py
+++ b/mothnotch/leaves/call.py
@@ -31,4 +31,4 @@
     def cancel(self, attempt) -> None:
         """Handle a cancelled attempt: abandon the call once all of its attempts have ended."""
         if not self.live_attempts:
-            self.pool.abandon(self)
+            self.pool.cancel_call(self)
--- a/mothnotch/leaves/connection.py
+++ b/mothnotch/leaves/connection.py
@@ -128,12 +128,12 @@
             self._first_byte_unsent
             and not self.leaf.takes_new
             and self.call is not None
-            and self.pool.withdraw(self)
+            and self.pool.withdraw_call(self)
         )
 
     def on_connection_lost(self) -> None:
         """Close the connection; its call ends as BROKEN."""
-        self.pool.connection_lost(self)
+        self.pool.close_connection(self)
 
     # ---- reading ----
 
@@ -142,14 +142,14 @@
         try:
             while True:
                 data = await self.stream.receive_some(_READ_BYTES)
-                if self.dead:
+                if self.is_closed:
                     return
                 if not data:
                     break
                 self.leaf.local_evidence.last_answered_us = int(trio.current_time() * 1e6)
                 self._wire.receive(data)
                 self._process_events()
-                if self.dead:
+                if self.is_closed:
                     return
         except CONNECTION_LOST_ERRORS:
             pass
@@ -161,7 +161,7 @@
             self.pool.log.error(
                 "unexpected error", leaf=self.leaf.name, error=repr(error), exc_info=True
             )
-        self.pool.connection_lost(self)
+        self.pool.close_connection(self)
 
     def _process_events(self):
         """Pass the received messages to the exchange and send the bytes that it returns."""
@@ -171,7 +171,7 @@
             if call is None:
                 # Unsolicited: an error before the leaf closes the connection, or the rest of an
                 # answer that was only read in part.
-                self.pool.connection_lost(self)
+                self.pool.close_connection(self)
                 return
             out += call.exchange.receive(event)
             if call.exchange.is_complete:
--- a/mothnotch/leaves/leaf.py
+++ b/mothnotch/leaves/leaf.py
@@ -6,8 +6,8 @@
 class Leaf:
     """One leaf and its connections.
 
-    `takes_new`: whether new attempts may be sent to the leaf; `idle`: idle connections, the most
-    recently used last; `open`: the number of connections, including those being made;
+    `takes_new`: whether new attempts may be sent to the leaf; `idle_connections`: ordered by use,
+    the most recently used last; `connection_count`: includes connections that are being made;
     `local_evidence`: when the leaf last answered or failed here, which membership decisions use.
     """
 
@@ -16,7 +16,7 @@
         self.name = name
         self.address = address
         self.takes_new = True
-        self.idle = []
-        self.open = 0
+        self.idle_connections = []
+        self.connection_count = 0
         self.cancels_in_flight = 0
         self.local_evidence = LocalEvidence()
--- a/mothnotch/leaves/pool.py
+++ b/mothnotch/leaves/pool.py
@@ -32,7 +32,7 @@
 # not occupy the limited number of cancel requests.
 _CANCEL_TIMEOUT_S = 1.0
 # Interval at which idle connections are checked for expiry.
-_SWEEP_INTERVAL_S = 1.0
+_IDLE_CHECK_INTERVAL_S = 1.0
 
 
 @dataclass(slots=True, frozen=True)
@@ -74,14 +74,14 @@
             "calls": 0,
             "over_most": 0,
         }
-        self._timeouts = Timeouts(self._time_out)
+        self._timeouts = Timeouts(self._on_timeout)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Run until cancelled; the tasks of all connections run in its nursery."""
         try:
             async with trio.open_nursery() as self.nursery:
                 self.nursery.start_soon(self._timeouts.run)
-                self.nursery.start_soon(self._sweep)
+                self.nursery.start_soon(self._close_expired)
                 task_status.started()
                 await trio.sleep_forever()
         finally:
@@ -124,8 +124,8 @@
 
     def close_idle(self, leaf: Leaf) -> None:
         """Close a leaf's idle connections."""
-        for connection in list(leaf.idle):
-            self.connection_lost(connection)
+        for connection in list(leaf.idle_connections):
+            self.close_connection(connection)
 
     # ---- calls ----
 
@@ -155,21 +155,21 @@
         connection = self._take_idle(leaf)
         if connection is not None:
             self._start_on(connection, call)
-        elif leaf.open >= self.settings.max_connections:
+        elif leaf.connection_count >= self.settings.max_connections:
             self.counts["over_most"] += 1
             call.exchange.fail(interface.Result.UNSENT)
         else:
-            leaf.open += 1
+            leaf.connection_count += 1
             self.nursery.start_soon(self._connect, call)
 
     def _take_idle(self, leaf):
         """Remove and return the most recently used idle connection that is open, or None."""
-        while leaf.idle:
-            connection = leaf.idle[-1]
+        while leaf.idle_connections:
+            connection = leaf.idle_connections[-1]
             if not self.network.is_stale(connection.stream):
-                leaf.idle.pop()
+                leaf.idle_connections.pop()
                 return connection
-            self.connection_lost(connection)
+            self.close_connection(connection)
         return None
 
     def _start_on(self, connection, call):
@@ -184,7 +184,7 @@
             return
         connection.start_call(call)
 
-    def withdraw(self, connection: Connection) -> bool:
+    def withdraw_call(self, connection: Connection) -> bool:
         """End the unsent call of a connection whose leaf takes no new attempts; return True."""
         call = connection.call
         connection.call = None
@@ -199,15 +199,15 @@
         connection.call = None
         connection.idle_since_s = trio.current_time()
         if self.leaves.get(leaf.name) is leaf and connection.address == leaf.address:
-            leaf.idle.append(connection)
+            leaf.idle_connections.append(connection)
         else:
-            self.connection_lost(connection)
+            self.close_connection(connection)
 
     # ---- closing and cancellation ----
 
-    def connection_lost(self, connection: Connection) -> None:
+    def close_connection(self, connection: Connection) -> None:
         """Close a connection unless it is closed already; its call ends BROKEN."""
-        if connection.dead:
+        if connection.is_closed:
             return
         self._remove(connection)
         close_now(connection.stream)
@@ -218,12 +218,12 @@
 
     def _remove(self, connection):
         """Remove a connection from its leaf's pool."""
-        connection.dead = True
-        connection.leaf.open -= 1
-        if connection in connection.leaf.idle:
-            connection.leaf.idle.remove(connection)
+        connection.is_closed = True
+        connection.leaf.connection_count -= 1
+        if connection in connection.leaf.idle_connections:
+            connection.leaf.idle_connections.remove(connection)
 
-    def abandon(self, call: Call) -> None:
+    def cancel_call(self, call: Call) -> None:
         """Cancel a call whose attempts have all ended.
 
         Its connection is not reused, and a cancel request is sent to the leaf.
@@ -242,7 +242,7 @@
         else:
             self.nursery.start_soon(self._request_cancel, call.leaf, connection)
 
-    def _time_out(self, attempt, now_s):
+    def _on_timeout(self, attempt, now_s):
         """End an attempt that is in flight at its deadline."""
         call = attempt.call
         call.leaf.local_evidence.last_failed_us = int(now_s * 1e6)
@@ -298,7 +298,7 @@
 
     def _note_failed_connect(self, leaf, connection):
         """Record a connect that failed or was cancelled; close its stream if there is one."""
-        leaf.open -= 1
+        leaf.connection_count -= 1
         self.counts["connects_failed"] += 1
         leaf.local_evidence.last_failed_us = int(trio.current_time() * 1e6)
         if connection is not None:
@@ -326,19 +326,19 @@
             if stream is not None:
                 close_now(stream)
 
-    async def _sweep(self):
+    async def _close_expired(self):
         """Close connections whose idle timeout has expired."""
         while True:
-            await trio.sleep(_SWEEP_INTERVAL_S)
+            await trio.sleep(_IDLE_CHECK_INTERVAL_S)
             used_before_s = trio.current_time() - self.settings.idle_s
             for leaf in self.leaves.values():
                 expired = [
                     connection
-                    for connection in leaf.idle
+                    for connection in leaf.idle_connections
                     if connection.idle_since_s < used_before_s
                 ]
                 for connection in expired:
-                    self.connection_lost(connection)
+                    self.close_connection(connection)
 
 
 def _result_of_rejection(error):
--- a/mothnotch/net/write_buffer.py
+++ b/mothnotch/net/write_buffer.py
@@ -13,10 +13,10 @@
     """The sending direction of a connection.
 
     `unsent`: bytes that the socket has not accepted yet; `sending`: whether a task is waiting to
-    send them, even if they have been revoked since; `dead`: whether the connection is closed.
+    send them, even if they have been revoked since; `is_closed`: whether the connection is closed.
     """
 
-    __slots__ = ("network", "nursery", "stream", "unsent", "sending", "dead")
+    __slots__ = ("network", "nursery", "stream", "unsent", "sending", "is_closed")
 
     def __init__(self, network, nursery: trio.Nursery, stream):
         """Write to a stream of `network`; tasks that send buffered data run in `nursery`."""
@@ -25,7 +25,7 @@
         self.stream = stream
         self.unsent = bytearray()
         self.sending = False
-        self.dead = False
+        self.is_closed = False
 
     def send(self, data: bytes) -> None:
         """Send as much as the socket accepts at once; a task sends the rest, if any."""
@@ -47,9 +47,9 @@
     async def _send_unsent(self):
         """Send the buffered data until none is left or it is revoked."""
         try:
-            while self.unsent and not self.dead:
+            while self.unsent and not self.is_closed:
                 await self.stream.wait_send_all_might_not_block()
-                if self.dead or self.revoke_unsent():
+                if self.is_closed or self.revoke_unsent():
                     self.sending = False
                     return
                 at_s = trio.current_time()
@@ -62,7 +62,7 @@
         except CONNECTION_LOST_ERRORS:
             self.on_connection_lost()
         self.sending = False
-        if not self.dead:
+        if not self.is_closed:
             self.on_write_drained()
 
     # ---- hooks for subclasses ----
--- a/mothnotch/node/answer_reader.py
+++ b/mothnotch/node/answer_reader.py
@@ -46,9 +46,9 @@
 
     async def _read_frames(self, connection):
         """Return at the end of the stream; raise FrameError at the first malformed frame."""
-        while not connection.dead:
+        while not connection.is_closed:
             data, at_s = await self.context.network.receive(connection.stream, READ_BYTES)
-            if connection.dead or not data:
+            if connection.is_closed or not data:
                 return
             received, error = connection.frame_reader.feed(data)
             if received:
--- a/mothnotch/node/cancellation.py
+++ b/mothnotch/node/cancellation.py
@@ -37,7 +37,7 @@
         if attempt in connection.queued:
             connection.queued.remove(attempt)
             return
-        if connection.dead or connection.in_flight.get(call.wire_id) is not attempt:
+        if connection.is_closed or connection.in_flight.get(call.wire_id) is not attempt:
             return
         streams_exhausted = len(connection.in_flight) >= self.context.max_streams
         del connection.in_flight[call.wire_id]
--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -108,7 +108,7 @@
 
     def advance(self):
         """Process received data until it is consumed or a query is open."""
-        while self.query is None and not self.unsent and not self.dead and not self.closing:
+        while self.query is None and not self.unsent and not self.is_closed and not self.closing:
             event = self.http.next_event()
             if event is h11.NEED_DATA:
                 self._on_need_data()
@@ -250,7 +250,7 @@
         """Answer an invalid request with an error, and end the connection, as data that follows an
         invalid request cannot be interpreted.
         """
-        if self.dead or self.closing:
+        if self.is_closed or self.closing:
             return
         self.context.counts["bad"] += 1
         if self.http.our_state in (h11.IDLE, h11.SEND_RESPONSE):
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -77,7 +77,7 @@
 
     def half_close(self, client: ClientConnection):
         """End the sending direction, as the last answer is written."""
-        if client.dead:
+        if client.is_closed:
             return
         client.lingering = True
         client.since_s = trio.current_time()
@@ -90,9 +90,9 @@
         """Close a connection, and abandon its open request. The root must not close a connection
         with an open request for a reason of its own; that is checked.
         """
-        if client.dead:
+        if client.is_closed:
             return
-        client.dead = True
+        client.is_closed = True
         self.closed[reason] += 1
         core = self.context.core
         if reason.initiated_by_root and reason is not ClientCloseReason.DEFECT:
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -202,9 +202,9 @@
 
     def close_connection(self, connection: LeafConnection, reason: LeafCloseReason):
         """Close a connection; completely sent attempts end BROKEN, the others UNREACHABLE."""
-        if connection.dead:
+        if connection.is_closed:
             return
-        connection.dead = True
+        connection.is_closed = True
         self.close_counts[reason] += 1
         self._trace_closed(connection, reason)
         self.cancellation.on_closed(connection)
--- a/mothnotch/node/connector.py
+++ b/mothnotch/node/connector.py
@@ -43,7 +43,7 @@
             self.context.log.warning(
                 "cannot connect to leaf", leaf=connection.leaf.name, error=str(error)
             )
-        if stream is None or connection.dead:
+        if stream is None or connection.is_closed:
             self.context.counts["connects_failed"] += 1
             if stream is not None:
                 close_now(stream)
@@ -53,7 +53,7 @@
         connection.stream = stream
         connection.idle_since_s = trio.current_time()
         connection.flush_queued()
-        if connection.dead:
+        if connection.is_closed:
             return False
         if connection.retired:
             connection.close_if_idle(LeafCloseReason.RETIRED)
--- a/mothnotch/node/frontend.py
+++ b/mothnotch/node/frontend.py
@@ -59,15 +59,15 @@
     async def _read_client(self, client):
         """Read a connection and process its data until it is closed."""
         network = self.context.network
-        while not client.dead:
+        while not client.is_closed:
             max_bytes = READ_BYTES
             if client.lingering or client.truncated:
                 await trio.sleep(DISCARD_PAUSE_S)
                 max_bytes = MAX_DISCARDED_BYTES
-                if client.dead:
+                if client.is_closed:
                     return
             data, at_s = await network.receive(client.stream, max_bytes)
-            if client.dead:
+            if client.is_closed:
                 return
             if data and client.query is None:
                 # No work is started for a client that has already disconnected: detect the end of
--- a/mothnotch/node/leaf_connection.py
+++ b/mothnotch/node/leaf_connection.py
@@ -103,7 +103,7 @@
 
     def on_attempt_removed(self):
         """If no attempts are left, record the start of the idle time, and close it if retired."""
-        if not self.attempt_count and not self.dead:
+        if not self.attempt_count and not self.is_closed:
             self.idle_since_s = trio.current_time()
             if self.retired:
                 self.close(LeafCloseReason.RETIRED)
@@ -115,7 +115,7 @@
 
         This is the last point at which an attempt may be withheld.
         """
-        while self.queued and self.stream is not None and not self.sending and not self.dead:
+        while self.queued and self.stream is not None and not self.sending and not self.is_closed:
             max_parts = self.pool.context.max_parts_per_call
             attempts = self.queued[:max_parts]
             self.queued = self.queued[max_parts:]
@@ -123,7 +123,7 @@
 
     def requeue_unsent(self):
         """Requeue the attempts of the first unsent frame if none of its bytes was sent."""
-        if not self.unsent_frames or self.dead:
+        if not self.unsent_frames or self.is_closed:
             return
         frame = self.unsent_frames[0]
         if frame.begin_offset != self.written_bytes:
--- a/mothnotch/node/request_handler.py
+++ b/mothnotch/node/request_handler.py
@@ -41,7 +41,7 @@
         def on_finished(outcome):
             self._on_outcome(client, request_id, outcome)
 
-        core.violations.check(not client.dead, Invariant.BEGUN_FOR_NOBODY, request=request_id)
+        core.violations.check(not client.is_closed, Invariant.BEGUN_FOR_NOBODY, request=request_id)
         try:
             client.query = core.submit(
                 request, on_finished, lambda: self.context.network.peer_disconnected(client.stream)
@@ -88,7 +88,7 @@
             )
         else:
             client.answer(504, b'{"error":"given up; it may have run"}')
-        if not client.dead:
+        if not client.is_closed:
             client.connections.run_step(client, client.advance)
 
     def _trace_request(self, client, request):
--- a/tests/test_catalogue_parts.py
+++ b/tests/test_catalogue_parts.py
@@ -270,7 +270,7 @@
         blocked = [
             connection.stream
             for leaf in pool.leaves.values()
-            for connection in leaf.idle
+            for connection in leaf.idle_connections
             if leaf.name == "leaf-2"
         ]
         assert blocked
--- a/tests/test_client_disconnects.py
+++ b/tests/test_client_disconnects.py
@@ -75,7 +75,7 @@
         await link.answer_part("r1.0")
         assert (await first.read_answer())[0] == 200
         await link.expect_no_call()
-        assert not root_link.dead
+        assert not root_link.is_closed
         await r.expect_no_open_queries()
 
 
@@ -90,7 +90,7 @@
         client.disconnect()
         await wait_until(lambda: r.root.core.counts["gone"])
         assert await link.read_frame() is None  # the leaf reads again: the frame stays incomplete
-        assert root_link.dead
+        assert root_link.is_closed
         await r.expect_no_open_queries()
 
 
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -356,7 +356,7 @@
 
         r.nursery.start_soon(trickle)
         (root_connection,) = r.root.pool.leaves[home_leaf.name].connections
-        await wait_until(lambda: root_connection.retired or root_connection.dead)
+        await wait_until(lambda: root_connection.retired or root_connection.is_closed)
 
 
 @on_real_sockets
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -427,7 +427,7 @@
         env.root.pool.answer_reader.take_frame(
             link, b"q", late[5:], 0
         )  # an answer that crossed the cancellation
-        assert env.root.pool.counts["late"] == 1 and not link.dead
+        assert env.root.pool.counts["late"] == 1 and not link.is_closed
         status, _, got = await client.answer()
         assert status == 200 and json.loads(got)["answers"][0]["blob"] == platform.value_of("t", 0)
 
--- a/tests/test_root_faults.py
+++ b/tests/test_root_faults.py
@@ -461,7 +461,7 @@
         await trio.sleep(1)
         assert all(
             connection.address == new_address
-            for connection in world.root.leaves.leaves["leaf-2"].idle
+            for connection in world.root.leaves.leaves["leaf-2"].idle_connections
         )
 
     run_in_world(test)
@@ -537,7 +537,7 @@
         for _ in range(12):
             reply = await client.query("SELECT count(*) FROM stock")
             assert reply.error is None and reply.rows == [[b"240"]], reply
-        assert world.root.leaves.leaves["leaf-6"].open <= 8
+        assert world.root.leaves.leaves["leaf-6"].connection_count <= 8
 
     run_in_world(test)
 
