--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -333,7 +333,7 @@
         """A plan; a long text is read beside the loop, as the parser would hold up everybody for
         its time.
         """
-        if self.front.service.planner.cheap(text, *declared):
+        if self.front.service.planner.is_cheap_to_plan(text, *declared):
             return plan(text, *declared)
         return await self.front.network.run_in_thread(plan, text, *declared)
 
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -19,7 +19,7 @@
 from mothnotch.root.request import PartSpec, Request
 from mothnotch.sql import local
 from mothnotch.sql.errors import SqlError, unsupported
-from mothnotch.sql.gather import SMALL, gather, streamed
+from mothnotch.sql.gather import IN_MEMORY_LIMIT_BYTES, gather, gather_blocks
 
 UNITS = {"us": 0.001, "ms": 1, "s": 1000, "min": 60_000, "h": 3_600_000, "d": 86_400_000, "": 1}
 DEFAULTS = {
@@ -205,7 +205,7 @@
         return {REPORTED[name]: value} if name in REPORTED else {}
 
     def function(self, name, arguments):
-        """What a function without a table gives: see mothnotch.sql.local.FUNCTIONS."""
+        """What a function without a table gives: see mothnotch.sql.local.SESSION_FUNCTIONS."""
         if name == "version":
             return local.VERSION
         if name in ("current_database", "current_catalog"):
@@ -270,7 +270,7 @@
                 "SAVEPOINT": self.transaction.add_savepoint,
                 "RELEASE": self.transaction.release_savepoint,
                 "ROLLBACK": self.transaction.rollback_to_savepoint,
-            }[statement.what](statement.name)
+            }[statement.action](statement.name)
             return Answer(statement.tag)
         self.transaction.check_not_failed()
         if plan.kind == "select":
@@ -323,9 +323,9 @@
             return Answer(
                 "EXPLAIN", [[line.encode()] for line in self.explain(statement.plan, parameters)]
             )
-        if kind is local.Values:
+        if kind is local.TablelessRow:
             evaluator = local.LocalEvaluator(parameters, self)
-            row = [evaluator.value(node) for node in statement.nodes]
+            row = [evaluator.value(node) for node in statement.expressions]
             return Answer(
                 "SELECT 1",
                 [
@@ -341,7 +341,7 @@
             rows = [
                 [
                     None if v is None else t.to_text(oid, v)
-                    for v, (_, oid) in zip(statement.of(piece), plan.columns, strict=True)
+                    for v, (_, oid) in zip(statement.row(piece), plan.columns, strict=True)
                 ]
                 for piece in self.coverage.ranges
             ]
@@ -420,7 +420,7 @@
     def bound(self, plan, parameters, shard, values=None):
         """The statement as one range's leaf gets it."""
         values, oids = plan.values(parameters) if values is None else values, plan.oids
-        if not plan.rows:
+        if not plan.inserted_shard_values:
             low, high = self.service.schema.range(shard)
             values += (str(low).encode(), str(high).encode())
             oids += (plan.shard_oid, plan.shard_oid)
@@ -444,7 +444,7 @@
         return out
 
     def key_of(self, plan, parameters):
-        value = plan.pinned(parameters)
+        value = plan.shard_value(parameters)
         return None if value is None else str(value)
 
     async def read(self, plan, parameters):
@@ -458,7 +458,7 @@
         for took in outcome.latencies_us:
             self.service.costs.record(plan.shape, plan.tables, took)
         parts, room = [outcome.rows[n].rows for n in sorted(outcome.rows)], outcome.storage
-        if room is None or room.held + room.spilled <= SMALL:
+        if room is None or room.held + room.spilled <= IN_MEMORY_LIMIT_BYTES:
             try:
                 rows = gather(plan, parts, parameters)
             finally:
@@ -466,7 +466,7 @@
                     room.close()
             answer = Answer(f"SELECT {len(rows)}", rows)
         else:
-            answer = Answer("SELECT", Stream(streamed(plan, parts, parameters, room), room))
+            answer = Answer("SELECT", Stream(gather_blocks(plan, parts, parameters, room), room))
         self.coverage = Coverage(
             tuple(self.piece(spec, n, outcome) for n, spec in enumerate(specs))
         )
@@ -558,13 +558,13 @@
             return Answer("INSERT 0 0" if plan.tag == "INSERT" else f"{plan.tag} 0")
         shard = shards[0]
         self.transaction.check_write(shard, plan.returning)
-        if not plan.told:
+        if not plan.row_count_known:
             raise unsupported(
                 "ON CONFLICT inside a transaction block",
                 "the rows it will touch are not known before " "COMMIT",
             )
-        if plan.rows:
-            told = len(plan.rows)
+        if plan.inserted_shard_values:
+            told = len(plan.inserted_shard_values)
         else:
             self.transaction.check_read((plan.table,))
             specs = self.specs(plan, parameters, shards, plan.count_sql)
@@ -640,7 +640,10 @@
         if plan.gather is not None:
             g, steps = plan.gather, []
             if g.grouped:
-                steps.append(f"groups by {g.groups} columns, {len(g.finals)} aggregates merged")
+                steps.append(
+                    f"groups by {g.group_columns} columns, "
+                    f"{len(g.aggregate_columns)} aggregates merged"
+                )
             if g.distinct:
                 steps.append("distinct")
             if g.having is not None:
--- a/mothnotch/sql/__init__.py
+++ b/mothnotch/sql/__init__.py
@@ -1,5 +1,5 @@
-"""SQL over shards: reading it, splitting it by bin ranges, and putting the answers together.
+"""SQL over shards: parsing, planning over bin ranges, and merging the parts' results.
 
-What is not known to stay right when split is refused (0A000, naming the construct). docs/sql.md
-tells what is taken.
+A construct that is not known to give correct results over several bin ranges is rejected with
+SQLSTATE 0A000 and an error that names it. docs/sql.md lists the supported SQL.
 """
--- a/mothnotch/sql/dialect.py
+++ b/mothnotch/sql/dialect.py
@@ -1,12 +1,14 @@
-"""PostgreSQL's dialect as the parser library reads it, with one mend."""
+"""The parser library's PostgreSQL dialect, with one correction."""
 
 from sqlglot import TokenType
 from sqlglot.dialects.postgres import Postgres
 
 
 class Dialect(Postgres):
-    """Guards against `$1,$2`, which the library takes for a dollar-quoted string named `1,`. Dollar
-    quoting goes with it: such a string is a syntax error here; quotes say the same.
+    """PostgreSQL without dollar-quoted strings.
+
+    The library reads `$1,$2` as the start of a dollar-quoted string with the tag `1,`. With dollar
+    quoting disabled, a dollar-quoted string is a syntax error; a quoted string can replace it.
     """
 
     class Tokenizer(Postgres.Tokenizer):
--- a/mothnotch/sql/errors.py
+++ b/mothnotch/sql/errors.py
@@ -1,8 +1,8 @@
-"""Errors of a statement, as PostgreSQL names them."""
+"""Statement errors with PostgreSQL's SQLSTATE codes."""
 
 
 class SqlError(Exception):
-    """An error for the client: its SQLSTATE, its text and, where there is one, a hint."""
+    """An error sent to the client: a SQLSTATE, a message and an optional hint."""
 
     def __init__(self, sqlstate, text, hint=""):
         super().__init__(text)
@@ -12,5 +12,5 @@
 def unsupported(
     construct, why="it is not known to stay right when the statement is split over bin ranges"
 ):
-    """0A000, naming the construct."""
+    """Return the error 0A000 (feature_not_supported) that names the construct."""
     return SqlError("0A000", f"{construct} is not supported: {why}")
--- a/mothnotch/sql/evaluate.py
+++ b/mothnotch/sql/evaluate.py
@@ -1,9 +1,8 @@
-"""Evaluates at the root what stands above aggregates: output columns, HAVING and ORDER BY over
-groups.
+"""Evaluate expressions at the root: output columns, HAVING and ORDER BY over merged groups.
 
 Values are those of `pgwire.types.from_text`; None is NULL, with three-valued logic. Arithmetic
-follows PostgreSQL: integers divide towards zero, numerics are exact and divide to at least 16
-significant digits.
+follows PostgreSQL: integer division truncates towards zero, numeric arithmetic is exact, and
+numeric division gives at least 16 significant digits.
 """
 
 import datetime as dt
@@ -14,33 +13,31 @@
 
 from mothnotch.pgwire import types as t
 from mothnotch.sql.errors import SqlError, unsupported
-from mothnotch.sql.typer import cast_type, construct, parameter
+from mothnotch.sql.typer import cast_type, construct_name, parameter_number
 
-EXACT = Context(prec=2000, rounding=ROUND_HALF_UP)
+EXACT_CONTEXT = Context(prec=2000, rounding=ROUND_HALF_UP)
 
 
 def divide_numeric(a, b):
-    """Numeric division with PostgreSQL's rule for the scale of the result (numeric.c,
-    select_div_scale).
-    """
+    """Divide numerics with PostgreSQL's scale of the result (numeric.c, select_div_scale)."""
     if b == 0:
         raise SqlError("22012", "division by zero")
 
-    def leading(x):
-        """Weight in base 10000 and the first base-10000 digit."""
+    def leading_digit(x):
+        """Return the base-10000 weight and the first base-10000 digit of a numeric."""
         if x == 0:
             return 0, 0
         weight = x.adjusted() // 4
-        return weight, int(abs(x).scaleb(-4 * weight, EXACT))
+        return weight, int(abs(x).scaleb(-4 * weight, EXACT_CONTEXT))
 
-    (wa, fa), (wb, fb) = leading(a), leading(b)
-    weight = wa - wb - (fa <= fb)
+    (weight_a, digit_a), (weight_b, digit_b) = leading_digit(a), leading_digit(b)
+    weight = weight_a - weight_b - (digit_a <= digit_b)
     scale = max(16 - weight * 4, -a.as_tuple().exponent, -b.as_tuple().exponent, 0)
-    return EXACT.quantize(EXACT.divide(a, b), Decimal(1).scaleb(-min(scale, 1000)))
+    return EXACT_CONTEXT.quantize(EXACT_CONTEXT.divide(a, b), Decimal(1).scaleb(-min(scale, 1000)))
 
 
-def number(a, b):
-    """Two operands brought to one kind: int, Decimal or float."""
+def common_numbers(a, b):
+    """Convert two operands to a common type: int, Decimal or float."""
     if isinstance(a, float) or isinstance(b, float):
         return float(a), float(b)
     if isinstance(a, Decimal) or isinstance(b, Decimal):
@@ -48,41 +45,43 @@
     return a, b
 
 
-def bounded(value):
+def check_bigint(value):
+    """Return a value, or raise 22003 if it is an integer that a bigint cannot hold."""
     if isinstance(value, int) and not isinstance(value, bool) and not -(2**63) <= value < 2**63:
         raise SqlError("22003", "bigint out of range")
     return value
 
 
 def arithmetic(kind, a, b):
+    """Apply an arithmetic operator, given by its node class, to two values that are not NULL."""
     if isinstance(a, dt.date) and isinstance(b, int):
         return a + dt.timedelta(days=b if kind is exp.Add else -b)
-    a, b = number(a, b)
+    a, b = common_numbers(a, b)
     if kind in (exp.Div, exp.Mod) and b == 0:
         raise SqlError("22012", "division by zero")
     if isinstance(a, Decimal):
         if kind is exp.Div:
             return divide_numeric(a, b)
         return {
-            exp.Add: EXACT.add,
-            exp.Sub: EXACT.subtract,
-            exp.Mul: EXACT.multiply,
-            exp.Mod: EXACT.remainder,
+            exp.Add: EXACT_CONTEXT.add,
+            exp.Sub: EXACT_CONTEXT.subtract,
+            exp.Mul: EXACT_CONTEXT.multiply,
+            exp.Mod: EXACT_CONTEXT.remainder,
         }[kind](a, b)
     if kind is exp.Add:
-        return bounded(a + b)
+        return check_bigint(a + b)
     if kind is exp.Sub:
-        return bounded(a - b)
+        return check_bigint(a - b)
     if kind is exp.Mul:
-        return bounded(a * b)
+        return check_bigint(a * b)
     if isinstance(a, float):
         return a / b if kind is exp.Div else a - b * int(a / b)
-    q = abs(a) // abs(b)
-    q = q if (a < 0) == (b < 0) else -q
-    return q if kind is exp.Div else a - b * q
+    quotient = abs(a) // abs(b)
+    quotient = quotient if (a < 0) == (b < 0) else -quotient
+    return quotient if kind is exp.Div else a - b * quotient
 
 
-COMPARE = {
+COMPARISONS = {
     exp.EQ: lambda a, b: a == b,
     exp.NEQ: lambda a, b: a != b,
     exp.LT: lambda a, b: a < b,
@@ -93,51 +92,56 @@
 
 
 def compare(kind, a, b):
-    """A comparison of two values that are not NULL; strings by code point, which is collation "C"."""
+    """Compare two values that are not NULL; strings by code point, as collation "C" does."""
     if isinstance(a, (int, Decimal, float)) and isinstance(b, (int, Decimal, float)):
-        a, b = number(a, b)
+        a, b = common_numbers(a, b)
     elif type(a) is not type(b):
-        # a bare string beside another type reads as that type
+        # An untyped string literal takes the type of the other operand.
         if isinstance(a, str):
             a = type(b).fromisoformat(a) if isinstance(b, dt.date) else type(b)(a)
         elif isinstance(b, str):
             b = type(a).fromisoformat(b) if isinstance(a, dt.date) else type(a)(b)
-    return COMPARE[kind](a, b)
+    return COMPARISONS[kind](a, b)
 
 
 def like(value, pattern):
-    """LIKE with its wildcards and the backslash as escape."""
-    out, at = [], 0
+    """Return whether a value matches a LIKE pattern, in which a backslash escapes."""
+    regex, at = [], 0
     while at < len(pattern):
-        c = pattern[at]
-        if c == "\\" and at + 1 < len(pattern):
+        character = pattern[at]
+        if character == "\\" and at + 1 < len(pattern):
             at += 1
-            out.append(re.escape(pattern[at]))
+            regex.append(re.escape(pattern[at]))
         else:
-            out.append(".*" if c == "%" else "." if c == "_" else re.escape(c))
+            regex.append(
+                ".*" if character == "%" else "." if character == "_" else re.escape(character)
+            )
         at += 1
-    return re.fullmatch("".join(out), value, re.DOTALL) is not None
+    return re.fullmatch("".join(regex), value, re.DOTALL) is not None
 
 
 class Evaluator:
-    """Evaluates expressions over one group. `known`: SQL text of a grouped expression or an
-    aggregate -> its value.
+    """Evaluates expressions over one group.
+
+    `slot_values` maps a slot to its value: `("g", n)` is the group's key column n, `("a", n)` is
+    aggregate n.
     """
 
     def __init__(self, parameters):
-        self.parameters, self.known = parameters, {}
+        self.parameters, self.slot_values = parameters, {}
 
     def value(self, node):
-        key = node.args.get("slot")
-        if key is not None:
-            return self.known[key]
-        n = parameter(node)
-        if n is not None:
-            return self.parameters[n - 1]
+        """Return the value of an expression; None is NULL."""
+        slot = node.args.get("slot")
+        if slot is not None:
+            return self.slot_values[slot]
+        number = parameter_number(node)
+        if number is not None:
+            return self.parameters[number - 1]
         method = getattr(self, "on_" + type(node).__name__.lower(), None)
         if method is not None:
             return method(node)
-        if type(node) in COMPARE:
+        if type(node) in COMPARISONS:
             a, b = self.value(node.this), self.value(node.expression)
             return None if a is None or b is None else compare(type(node), a, b)
         if type(node) in (exp.Add, exp.Sub, exp.Mul, exp.Div, exp.Mod):
@@ -149,7 +153,7 @@
                 f'column "{node.sql("postgres")}" must appear in the GROUP BY clause or be used in '
                 "an aggregate function",
             )
-        raise unsupported(construct(node), "it is not evaluated over groups")
+        raise unsupported(construct_name(node), "it is not evaluated over groups")
 
     def on_literal(self, node):
         if node.is_string:
@@ -240,11 +244,13 @@
         subject = None if node.this is None else self.value(node.this)
         for branch in node.args["ifs"]:
             if node.this is None:
-                hit = self.value(branch.this) is True
+                matches = self.value(branch.this) is True
             else:
                 other = self.value(branch.this)
-                hit = subject is not None and other is not None and compare(exp.EQ, subject, other)
-            if hit:
+                matches = (
+                    subject is not None and other is not None and compare(exp.EQ, subject, other)
+                )
+            if matches:
                 return self.value(branch.args["true"])
         default = node.args.get("default")
         return None if default is None else self.value(default)
@@ -278,16 +284,19 @@
 
     def on_cast(self, node):
         value, oid = self.value(node.this), cast_type(node)
-        return None if value is None else converted(value, oid)
+        return None if value is None else cast_value(value, oid)
 
 
 def text_of(value):
+    """Return a value as a cast to text gives it."""
     return t.to_text(t.TEXT, value).decode()
 
 
-def converted(value, oid):
-    """A value as another type has it: numerics and floats round to the nearest integer, halves away
-    from zero (numeric) or to even (float), as PostgreSQL does.
+def cast_value(value, oid):
+    """Cast a value to another type.
+
+    As in PostgreSQL, numerics and floats round to the nearest integer; halves round away from zero
+    (numeric) or to even (float).
     """
     try:
         if oid in t.INTS:
--- a/mothnotch/sql/lift.py
+++ b/mothnotch/sql/lift.py
@@ -1,9 +1,10 @@
-"""Lifts literals out of a statement's text, so that statements alike but for their values share one
-plan.
+"""Replace literals in a statement's text by parameters.
 
-Drivers that put values into the text (psycopg2, psql) would else pay the parser for every
-statement. A literal is lifted only where a parameter means the same; in doubt it stays, and a
-statement whose lifted form cannot be planned is planned as it came.
+Statements that differ only in their values then share one cached plan.
+
+Drivers that put values into the text (psycopg2, psql) would otherwise have every statement parsed.
+A literal is replaced only where a parameter has the same meaning; in doubt it stays. A statement
+whose parameterized form cannot be planned is planned from its original text.
 """
 
 import re
@@ -18,10 +19,10 @@
 """,
     re.VERBOSE,
 )
-FIRST = frozenset(("select", "insert", "update", "delete"))
-# Words that a literal may follow and still be a value of its own: not so DATE '...', E'...', FETCH
-# FIRST 3.
-BEFORE = frozenset(
+FIRST_WORDS = frozenset(("select", "insert", "update", "delete"))
+# A literal after one of these words is a value by itself, unlike those in DATE '...', E'...' and
+# FETCH FIRST 3.
+WORDS_BEFORE_VALUE = frozenset(
     (
         "select",
         "where",
@@ -47,19 +48,21 @@
         "returning",
     )
 )
-LONGEST = 8192  # characters; a longer text is planned as it came
-MOST = 200  # literals lifted
+MAX_TEXT_CHARS = 8192  # a longer statement keeps its literals
+MAX_PARAMETERS = 200  # a statement with more distinct literals keeps all of them
+
 
+def parameterize(text):
+    """Return (text with parameters, their type OIDs, their values), or None if nothing is replaced.
 
-def lift(text):
-    """(text with parameters, their types, their values), or None where nothing is lifted. A type of
-    0 is left to the planner, as for a bare string; equal literals become one parameter, as they may
-    have to read alike.
+    The type OID 0, given to a quoted string, leaves the type to the planner. Equal literals become
+    one parameter, because expressions that contain them may have to be textually equal, as in
+    SELECT and GROUP BY.
     """
-    if len(text) > LONGEST or "$" in text or "\\" in text:
+    if len(text) > MAX_TEXT_CHARS or "$" in text or "\\" in text:
         return None
-    out, seen, oids, values = [], {}, [], []
-    before, beyond, first = "", False, True
+    out, numbers, oids, values = [], {}, [], []
+    before, after_by, first = "", False, True
     for token in TOKEN.finditer(text):
         kind, raw = token.lastgroup, token[0]
         if kind == "comment" or kind == "dollar":
@@ -68,35 +71,38 @@
             out.append(" ")
             continue
         if first:
-            if kind != "word" or raw.lower() not in FIRST:
+            if kind != "word" or raw.lower() not in FIRST_WORDS:
                 return None
             first = False
         word = raw.lower() if kind == "word" else ""
         if word == "by":
-            beyond = True  # GROUP BY 1, ORDER BY 2: these are positions
-        liftable = kind in ("string", "number") and (
-            before in ("limit", "offset") if beyond else not before or before in BEFORE
+            after_by = True  # the numbers in GROUP BY 1 and ORDER BY 2 are column positions
+        replaceable = kind in ("string", "number") and (
+            before in ("limit", "offset")
+            if after_by
+            else not before or before in WORDS_BEFORE_VALUE
         )
-        if liftable:
-            if raw not in seen:
-                if len(values) == MOST:
+        if replaceable:
+            if raw not in numbers:
+                if len(values) == MAX_PARAMETERS:
                     return None
-                oid, value = read(kind, raw)
+                oid, value = literal_value(kind, raw)
                 oids.append(oid)
                 values.append(value)
-                seen[raw] = len(values)
-            out.append(f"${seen[raw]}")
+                numbers[raw] = len(values)
+            out.append(f"${numbers[raw]}")
         else:
             out.append(raw)
-        # A sign or a bracket before a literal leaves it a value; a word, a quoted name or a literal
-        # may not.
+        # A literal after an operator or a parenthesis is a value; after an unlisted word, a quoted
+        # name or another literal it may not be.
         before = word or (
             "name" if kind in ("quoted", "string", "number") else "::" if raw == "::" else ""
         )
     return ("".join(out), tuple(oids), tuple(values)) if values else None
 
 
-def read(kind, raw):
+def literal_value(kind, raw):
+    """Return (type OID, value) of a literal token."""
     if kind == "string":
         return 0, raw[1:-1].replace("''", "'")
     if "." in raw:
--- a/mothnotch/sql/local.py
+++ b/mothnotch/sql/local.py
@@ -1,4 +1,6 @@
-"""Statements that need no leaf: transactions, settings, and what drivers ask a server about itself."""
+"""Statements that the root executes itself: transaction control, settings, and drivers' queries
+about the server.
+"""
 
 import re
 from dataclasses import dataclass
@@ -8,7 +10,7 @@
 from mothnotch.pgwire import types as t
 from mothnotch.sql.errors import SqlError, unsupported
 from mothnotch.sql.evaluate import Evaluator
-from mothnotch.sql.typer import Scope, Typer, check, folded
+from mothnotch.sql.typer import Scope, Typer, check, folded_name
 
 SERVER_VERSION = "15.0"
 VERSION = f"PostgreSQL {SERVER_VERSION} (mothnotch: SQL over shards)"
@@ -34,7 +36,7 @@
 class Savepoint:
     """SAVEPOINT, RELEASE or ROLLBACK TO."""
 
-    what: str
+    action: str
     name: str
     tag: str
 
@@ -42,7 +44,7 @@
 @dataclass(slots=True, frozen=True)
 class Set:
     name: str
-    value: str | None  # None: back to the default
+    value: str | None  # None resets it to the default
     local: bool = False
     tag: str = "SET"
 
@@ -55,7 +57,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Reset:
-    name: str | None  # None: all
+    name: str | None  # None means all
     tag: str = "RESET"
 
 
@@ -67,7 +69,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Deallocate:
-    name: str | None  # None: all
+    name: str | None  # None means all
     tag: str = "DEALLOCATE"
 
 
@@ -89,36 +91,41 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Values:
-    """One row of expressions without a table."""
+class TablelessRow:
+    """A SELECT without FROM: one row of expressions."""
 
-    nodes: tuple
+    expressions: tuple
     tag: str = "SELECT"
 
 
 @dataclass(slots=True, frozen=True)
 class CoverageRows:
-    names: tuple
+    """A SELECT from mothnotch_coverage."""
+
+    columns: tuple
     tag: str = "SELECT"
 
-    def of(self, piece):
-        return [COVERAGE[name][1](piece) for name in self.names]
+    def row(self, part):
+        """Return the selected values for one part of the last answer."""
+        return [COVERAGE_COLUMNS[name][1](part) for name in self.columns]
 
 
 @dataclass(slots=True, frozen=True)
 class NoRows:
+    """A query whose result is always empty."""
+
     tag: str = "SELECT"
 
 
-FIRST = re.compile(r"(?:\s|--[^\n]*\n|/\*.*?\*/)*([a-zA-Z]+)", re.DOTALL)
-SET = re.compile(
+FIRST_WORD = re.compile(r"(?:\s|--[^\n]*\n|/\*.*?\*/)*([a-zA-Z]+)", re.DOTALL)
+SET_STATEMENT = re.compile(
     r"set\s+(?:(session|local)\s+)?(?:(time\s+zone)|([\w.]+)\s*(?:=|\bto\b))\s*(.+)$", re.I | re.S
 )
-ISOLATION = re.compile(
+ISOLATION_LEVEL = re.compile(
     r"isolation\s+level\s+(read\s+committed|read\s+uncommitted|repeatable\s+read|serializable)",
     re.I,
 )
-NOT_TAKEN = {
+UNSUPPORTED_COMMANDS = {
     "prepare": "PREPARE",
     "execute": "EXECUTE",
     "declare": "DECLARE CURSOR",
@@ -149,15 +156,16 @@
 }
 
 
-def utility(text):
-    """The session statement that a text is, or None if it is for the planner."""
-    found = FIRST.match(text)
+def parse_session_statement(text):
+    """Return the session statement in a text, or None if the text is for the planner."""
+    found = FIRST_WORD.match(text)
     if found is None:
         return None
     word, rest = found[1].lower(), text[found.start(1) :].strip().rstrip(";").strip()
-    if word in NOT_TAKEN:
+    if word in UNSUPPORTED_COMMANDS:
         raise unsupported(
-            NOT_TAKEN[word], "the root takes SELECT, INSERT, UPDATE, DELETE and session statements"
+            UNSUPPORTED_COMMANDS[word],
+            "the root takes SELECT, INSERT, UPDATE, DELETE and session statements",
         )
     handler = {
         "begin": _begin,
@@ -180,8 +188,9 @@
     return handler(rest) if handler is not None else None
 
 
-def _modes(rest):
-    level = ISOLATION.search(rest)
+def _is_read_only(rest):
+    """Return whether transaction modes include READ ONLY; reject unsupported isolation levels."""
+    level = ISOLATION_LEVEL.search(rest)
     if level is not None and level[1].lower().split()[0] in ("repeatable", "serializable"):
         raise unsupported(
             f"ISOLATION LEVEL {level[1].upper()}",
@@ -191,7 +200,9 @@
 
 
 def _begin(rest):
-    return Begin(_modes(rest), "START TRANSACTION" if rest[:5].lower() == "start" else "BEGIN")
+    return Begin(
+        _is_read_only(rest), "START TRANSACTION" if rest[:5].lower() == "start" else "BEGIN"
+    )
 
 
 def _commit(rest):
@@ -210,7 +221,7 @@
     return Rollback()
 
 
-SAVEPOINT = re.compile(
+SAVEPOINT_STATEMENT = re.compile(
     r"(savepoint|release(?:\s+savepoint)?|rollback\s+(?:work\s+|transaction\s+)?to(?:\s+savepoint)?)"
     r"\s+(\"[^\"]+\"|\w+)$",
     re.I,
@@ -218,19 +229,19 @@
 
 
 def _savepoint(rest):
-    found = SAVEPOINT.match(rest)
+    found = SAVEPOINT_STATEMENT.match(rest)
     if found is None:
         raise SqlError("42601", f'syntax error at or near "{rest[:40]}"')
-    what = found[1].split()[0].upper()
+    action = found[1].split()[0].upper()
     name = found[2][1:-1] if found[2][0] == '"' else found[2].lower()
-    return Savepoint(what, name, what)
+    return Savepoint(action, name, action)
 
 
 def _set(rest):
     if re.match(r"set\s+(session\s+characteristics\s+as\s+|local\s+)?transaction\b", rest, re.I):
-        _modes(rest)
+        _is_read_only(rest)
         return Set("transaction", "", True)
-    found = SET.match(rest)
+    found = SET_STATEMENT.match(rest)
     if found is None:
         raise SqlError("42601", f'syntax error at or near "{rest[:40]}"')
     name, value = ("timezone" if found[2] else found[3].lower()), found[4].strip()
@@ -288,7 +299,7 @@
 
 # ---- SELECT without a table ----
 
-FUNCTIONS = {
+SESSION_FUNCTIONS = {
     "version": t.TEXT,
     "current_database": t.NAME,
     "current_catalog": t.NAME,
@@ -307,8 +318,12 @@
 
 
 def function_name(node):
-    """The name of a function without a schema, for those this page answers; else None."""
-    if isinstance(node, exp.Dot) and folded(node.this) == "pg_catalog":
+    """Return the name of a function without its schema, or None for any other node.
+
+    Of the functions that are called without parentheses, CURRENT_CATALOG, CURRENT_USER and USER are
+    recognized.
+    """
+    if isinstance(node, exp.Dot) and folded_name(node.this) == "pg_catalog":
         return function_name(node.expression)
     if (
         isinstance(node, exp.Column)
@@ -316,8 +331,8 @@
         and not isinstance(node.this, exp.Star)
     ):
         return (
-            folded(node.this)
-            if folded(node.this) in ("current_catalog", "user", "current_user")
+            folded_name(node.this)
+            if folded_name(node.this) in ("current_catalog", "user", "current_user")
             else None
         )
     if isinstance(node, exp.Anonymous):
@@ -330,19 +345,21 @@
 
 
 class LocalTyper(Typer):
+    """Types expressions that may call the session functions."""
+
     def type(self, node, want=None, aggregates=False):
         name = function_name(node)
-        if name in FUNCTIONS:
+        if name in SESSION_FUNCTIONS:
             for argument in (
                 node.expressions if not isinstance(node, exp.Dot) else node.expression.expressions
             ):
                 super().type(argument, t.TEXT)
-            return FUNCTIONS[name]
+            return SESSION_FUNCTIONS[name]
         return super().type(node, want, aggregates)
 
 
 class LocalEvaluator(Evaluator):
-    """Evaluates with a session that answers the functions: `session.function(name, arguments)`."""
+    """Evaluates expressions; `session.function(name, arguments)` evaluates session functions."""
 
     def __init__(self, parameters, session):
         super().__init__(parameters)
@@ -350,53 +367,61 @@
 
     def value(self, node):
         name = function_name(node)
-        if name in FUNCTIONS:
+        if name in SESSION_FUNCTIONS:
             call = node.expression if isinstance(node, exp.Dot) else node
             return self.session.function(name, [self.value(a) for a in call.expressions])
         return super().value(node)
 
 
-def select(tree, declared):
-    """The plan of a SELECT without FROM."""
-    from mothnotch.sql.plan import Plan, known, output_name
+def plan_tableless_select(tree, declared):
+    """Plan a SELECT without FROM."""
+    from mothnotch.sql.plan import Plan, output_name, resolved_type
 
     check(tree, "expressions", "limit")
     typer = LocalTyper(Scope(declared))
     nodes, columns = [], []
     for node in tree.expressions:
         name = output_name(node.this if isinstance(node, exp.Alias) else node)
-        if function_name(node) in FUNCTIONS:
+        if function_name(node) in SESSION_FUNCTIONS:
             name = function_name(node)
         if isinstance(node, exp.Alias):
-            node, name = node.this, folded(node.args["alias"])
-        columns.append((name, known(typer.type(node))))
+            node, name = node.this, folded_name(node.args["alias"])
+        columns.append((name, resolved_type(typer.type(node))))
         nodes.append(node)
-    return Plan("local", "SELECT", columns, typer.scope.oids(), statement=Values(tuple(nodes)))
+    return Plan(
+        "local", "SELECT", columns, typer.scope.oids(), statement=TablelessRow(tuple(nodes))
+    )
 
 
-COVERAGE = {
-    "range_low": (t.INT8, lambda p: p.low),
-    "range_high": (t.INT8, lambda p: p.high),
-    "share": (t.FLOAT8, lambda p: p.weight),
-    "answered": (t.BOOL, lambda p: p.answered),
-    "why": (t.TEXT, lambda p: p.missing_reason or None),
-    "leaf": (t.TEXT, lambda p: p.leaf),
-    "read_ms_ago": (t.FLOAT8, lambda p: None if p.read_age_us is None else p.read_age_us / 1000),
+COVERAGE_COLUMNS = {
+    "range_low": (t.INT8, lambda part: part.low),
+    "range_high": (t.INT8, lambda part: part.high),
+    "share": (t.FLOAT8, lambda part: part.weight),
+    "answered": (t.BOOL, lambda part: part.answered),
+    "why": (t.TEXT, lambda part: part.missing_reason or None),
+    "leaf": (t.TEXT, lambda part: part.leaf),
+    "read_ms_ago": (
+        t.FLOAT8,
+        lambda part: None if part.read_age_us is None else part.read_age_us / 1000,
+    ),
 }
 
 
-def covers(tree):
-    """Whether a SELECT asks for the coverage of the answer before it."""
-    return any(x.name.lower() == "mothnotch_coverage" for x in tree.find_all(exp.Table))
+def reads_coverage(tree):
+    """Return whether a SELECT reads mothnotch_coverage, the coverage of the previous answer."""
+    return any(table.name.lower() == "mothnotch_coverage" for table in tree.find_all(exp.Table))
+
 
+def plan_coverage_select(tree):
+    """Plan SELECT of * or columns FROM mothnotch_coverage.
 
-def covered(tree):
-    """SELECT * or columns FROM mothnotch_coverage: a row for each part of the last SELECT answered."""
+    Its result has one row for each part of the last answered SELECT.
+    """
     from mothnotch.sql.plan import Plan
 
     if any(
-        tree.args.get(k)
-        for k in ("where", "order", "group", "having", "limit", "offset", "joins", "distinct")
+        tree.args.get(clause)
+        for clause in ("where", "order", "group", "having", "limit", "offset", "joins", "distinct")
     ):
         raise unsupported(
             "a clause over mothnotch_coverage", "select its columns and sort them out yourself"
@@ -404,45 +429,52 @@
     names = []
     for node in tree.expressions:
         if isinstance(node, exp.Star):
-            names += COVERAGE
-        elif isinstance(node, exp.Column) and folded(node.this) in COVERAGE:
-            names.append(folded(node.this))
+            names += COVERAGE_COLUMNS
+        elif isinstance(node, exp.Column) and folded_name(node.this) in COVERAGE_COLUMNS:
+            names.append(folded_name(node.this))
         else:
-            raise SqlError("42703", f"mothnotch_coverage has the columns {', '.join(COVERAGE)}")
+            raise SqlError(
+                "42703", f"mothnotch_coverage has the columns {', '.join(COVERAGE_COLUMNS)}"
+            )
     return Plan(
         "local",
         "SELECT",
-        [(name, COVERAGE[name][0]) for name in names],
+        [(name, COVERAGE_COLUMNS[name][0]) for name in names],
         statement=CoverageRows(tuple(names)),
     )
 
 
-def catalogue(tree):
-    """Whether a SELECT asks the system catalogue about types; other questions to it are refused."""
+def reads_type_catalog(tree):
+    """Return whether a SELECT reads pg_type; raise 0A000 for the rest of the system catalog."""
     tables = list(tree.find_all(exp.Table))
-    system = [
-        x
-        for x in tables
-        if x.name.lower().startswith("pg_") or x.db.lower() in ("pg_catalog", "information_schema")
+    catalog_tables = [
+        table
+        for table in tables
+        if table.name.lower().startswith("pg_")
+        or table.db.lower() in ("pg_catalog", "information_schema")
     ]
-    if not system:
+    if not catalog_tables:
         return False
-    if any(x.name.lower() == "pg_type" for x in system):
+    if any(table.name.lower() == "pg_type" for table in catalog_tables):
         return True
     raise unsupported(
-        f"the system catalogue ({system[0].name})",
+        f"the system catalogue ({catalog_tables[0].name})",
         "the root keeps none; the tables are in its configuration",
     )
 
 
-def empty(tree, declared):
-    """A look-up of types: none is known here beyond the built-in ones, so no row is found."""
+def plan_type_lookup(tree, declared):
+    """Plan a SELECT from pg_type; its result is empty, as only the built-in types exist."""
     from mothnotch.sql.plan import Plan, output_name
 
     columns = []
     for node in tree.expressions:
-        name = folded(node.args["alias"]) if isinstance(node, exp.Alias) else output_name(node)
+        name = folded_name(node.args["alias"]) if isinstance(node, exp.Alias) else output_name(node)
         columns.append((name, t.TEXT))
-    most = max([int(p.this.this) for p in tree.find_all(exp.Parameter)] + [len(declared)])
-    oids = tuple(declared[n] if n < len(declared) and declared[n] else t.TEXT for n in range(most))
+    parameter_count = max(
+        [int(found.this.this) for found in tree.find_all(exp.Parameter)] + [len(declared)]
+    )
+    oids = tuple(
+        declared[n] if n < len(declared) and declared[n] else t.TEXT for n in range(parameter_count)
+    )
     return Plan("local", "SELECT", columns, oids, statement=NoRows())
--- a/mothnotch/sql/plan.py
+++ b/mothnotch/sql/plan.py
@@ -1,9 +1,8 @@
-"""From the text of a statement to a plan: what each bin range is asked, and how the answers come
-together.
+"""Plan statements: the SQL that is sent to each shard, and how the results are combined.
 
-A plan depends on the text, the declared parameter types and the schema alone, so it is cached; what
-depends on bound values (which ranges, how many rows) is worked out by `Plan.shards` and
-`Gather.limits` at execution.
+A plan depends only on the text, the declared parameter types and the schema, so it is cached. What
+depends on bound values (which shards, how many rows) is computed at execution by `Plan.shards` and
+`Gather.limits`.
 """
 
 import re
@@ -18,45 +17,45 @@
 from mothnotch.sql import local
 from mothnotch.sql.dialect import Dialect
 from mothnotch.sql.errors import SqlError, unsupported
-from mothnotch.sql.evaluate import converted
-from mothnotch.sql.lift import lift
+from mothnotch.sql.evaluate import cast_value
+from mothnotch.sql.lift import parameterize
 from mothnotch.sql.typer import (
     AGGREGATES,
     Scope,
     Typer,
     cast_type,
     check,
-    construct,
-    folded,
-    parameter,
+    construct_name,
+    folded_name,
+    parameter_number,
 )
 
 LITERAL = re.compile(r"'(?:[^']|'')*'|(?<![\w$])\d+(?:\.\d+)?")
-MOST_TEXT = 1 << 16  # the longest statement read, in characters
-CHEAP_TEXT = 512  # up to here the parser is quick enough to hold nobody up
-MOST_TABLES = 8
+MAX_TEXT_CHARS = 1 << 16  # a longer statement is rejected
+CHEAP_TEXT_CHARS = 512  # a text up to this length is parsed without noticeably blocking others
+MAX_JOINED_TABLES = 8
 
 
 @dataclass(slots=True, frozen=True)
 class Operand:
-    """A value known when the statement is bound: a literal, or parameter number `n`; cast to a
-    type, if one is named.
+    """A value known once parameters are bound: a literal, or the parameter of a number from 1.
+
+    `cast` is the OID of the type to cast the value to, or None.
     """
 
     value: object = None
-    n: int | None = None
+    number: int | None = None
     cast: int | None = None
 
-    def of(self, parameters):
-        value = self.value if self.n is None else parameters[self.n - 1]
-        return value if self.cast is None or value is None else converted(value, self.cast)
+    def bound_value(self, parameters):
+        """Return the operand's value with the given parameters."""
+        value = self.value if self.number is None else parameters[self.number - 1]
+        return value if self.cast is None or value is None else cast_value(value, self.cast)
 
 
 @dataclass(slots=True, frozen=True)
-class Key:
-    """One sort key: the column of the leaf's rows (or of the groups' output) it stands in, its
-    type, its order.
-    """
+class SortKey:
+    """One sort key: its column in the leaf's rows or in the groups' output, its type and order."""
 
     column: int
     oid: int
@@ -66,99 +65,106 @@
 
 @dataclass(slots=True)
 class Gather:
-    """How the parts' rows become the answer: see mothnotch/sql/gather.py."""
+    """How the parts' rows are combined into the result; see mothnotch/sql/gather.py."""
 
-    width: int  # columns shown
-    oids: tuple  # of the leaf's columns, in order
+    width: int  # number of output columns
+    oids: tuple  # types of the leaf's columns, in order
     keys: tuple = ()
     distinct: bool = False
     limit: Operand | None = None
     offset: Operand | None = None
     grouped: bool = False
-    groups: int = 0  # leading columns that name the group
-    finals: tuple = ()  # per aggregate: (kind, first partial column)
-    outputs: tuple = ()  # expressions over slots, shown columns first, then sort keys
+    group_columns: int = 0  # number of leading columns that are the group key
+    aggregate_columns: tuple = ()  # for each aggregate: (kind, first column of its partial values)
+    outputs: tuple = ()  # expressions over slots: output columns, then sort keys
     having: object = None
 
     def limits(self, parameters):
-        """(rows to skip, rows to show or None) with bound values; errors as PostgreSQL's."""
-        found = []
+        """Return (rows to skip, rows to return or None for all) with bound values.
+
+        Raise PostgreSQL's errors for negative values.
+        """
+        limits = []
         for operand, what, code in (
             (self.offset, "OFFSET", "2201X"),
             (self.limit, "LIMIT", "2201W"),
         ):
-            value = None if operand is None else operand.of(parameters)
+            value = None if operand is None else operand.bound_value(parameters)
             if value is not None and value < 0:
                 raise SqlError(code, f"{what} must not be negative")
-            found.append(value)
-        return found[0] or 0, found[1]
+            limits.append(value)
+        return limits[0] or 0, limits[1]
 
 
 @dataclass(slots=True)
 class Plan:
-    """`kind`: "select", "write" or "local". `conditions` bound the shard column: (operator,
-    operands).
+    """The plan of one statement.
+
+    `kind` is "select", "write" or "local". `conditions` are (operator, operands) pairs that the
+    shard column has to satisfy; the operators are "in", "lt", "le", "gt" and "ge".
     """
 
     kind: str
     tag: str
-    columns: list = field(
-        default_factory=list
-    )  # (name, type OID) shown to the client; none: no rows
-    oids: tuple = ()  # parameter types
+    # Output columns as (name, type OID); empty if the statement returns no rows.
+    columns: list = field(default_factory=list)
+    oids: tuple = ()  # types of the parameters
     tables: tuple = ()
     conditions: tuple = ()
     shard_oid: int = t.INT4
-    sql: str = ""  # for the leaf
-    limited: bool = False  # the leaf's text has a LIMIT parameter
+    sql: str = ""  # sent to the leaf
+    limited: bool = False  # the leaf's SQL has a LIMIT parameter
     gather: Gather | None = None
-    table: str = ""  # written
-    rows: tuple = ()  # INSERT: the shard column's operand of each row
-    count_sql: str | None = None  # UPDATE, DELETE: how many rows it would touch
+    table: str = ""  # the table that is written
+    inserted_shard_values: tuple = ()  # INSERT: the operand of the shard column in each row
+    count_sql: str | None = None  # UPDATE, DELETE: counts the rows that it would change
     returning: bool = False
-    told: bool = True  # the rows touched are known before it runs
-    statement: object = None  # local: what it does
-    shape: str = ""  # the leaf's text without its literals: alike in cost
+    row_count_known: bool = True  # the number of rows changed is known before execution
+    statement: object = None  # kind "local": the statement to execute
+    shape: str = ""  # the leaf's SQL without literals; statements of one shape have similar costs
 
     def __post_init__(self):
         self.shape = LITERAL.sub("?", self.sql)
 
     def values(self, parameters):
-        """Parameters as the leaf gets them, in text format."""
+        """Return the parameters in text format, as they are sent to the leaf."""
         return tuple(
             None if p is None else t.to_text(oid, p)
             for oid, p in zip(self.oids, parameters, strict=True)
         )
 
     def shards(self, schema, parameters):
-        """The ranges that can hold what is asked; one at least for a read, so that an answer has
-        its form.
+        """Return the shards that can hold matching rows.
+
+        For a read there is at least one, so that the result has its columns and, without GROUP BY,
+        its aggregates.
         """
-        if self.rows:
-            return [self._row_shards(schema, parameters)]
-        found = set(range(schema.shards))
+        if self.inserted_shard_values:
+            return [self._insert_shard(schema, parameters)]
+        shards = set(range(schema.shards))
         for op, operands in self.conditions:
-            values = [operand.of(parameters) for operand in operands]
+            values = [operand.bound_value(parameters) for operand in operands]
             if op == "in":
-                found &= {schema.shard_of(v) for v in values if v is not None}
+                shards &= {schema.shard_of(v) for v in values if v is not None}
             elif values[0] is None:
-                found = set()
+                shards = set()
             elif op in ("ge", "gt"):
-                found &= set(schema.within(values[0], None, op == "gt", False))
+                shards &= set(schema.shards_between(values[0], None, op == "gt", False))
             else:
-                found &= set(schema.within(None, values[0], False, op == "lt"))
-        found.discard(None)
-        return sorted(found) or ([] if self.kind == "write" else [0])
+                shards &= set(schema.shards_between(None, values[0], False, op == "lt"))
+        shards.discard(None)
+        return sorted(shards) or ([] if self.kind == "write" else [0])
 
-    def _row_shards(self, schema, parameters):
+    def _insert_shard(self, schema, parameters):
         shards = set()
-        for operand in self.rows:
-            value = operand.of(parameters)
+        for operand in self.inserted_shard_values:
+            value = operand.bound_value(parameters)
             shard = None if value is None else schema.shard_of(value)
             if shard is None:
                 raise SqlError(
                     "23514",
-                    f'no bin range holds {value!r}: new row for relation "{self.table}" belongs nowhere',
+                    f'no bin range holds {value!r}: new row for relation "{self.table}" '
+                    "belongs nowhere",
                 )
             shards.add(shard)
         if len(shards) > 1:
@@ -168,109 +174,122 @@
             )
         return shards.pop()
 
-    def pinned(self, parameters):
-        """The one value the shard column must have, or None: queries for it share their homes."""
+    def shard_value(self, parameters):
+        """Return the only value that the shard column can have, or None.
+
+        Queries with the same value prefer the same leaves.
+        """
         for op, operands in self.conditions:
             if op == "in" and len(operands) == 1:
-                return operands[0].of(parameters)
-        return self.rows[0].of(parameters) if self.rows else None
+                return operands[0].bound_value(parameters)
+        return (
+            self.inserted_shard_values[0].bound_value(parameters)
+            if self.inserted_shard_values
+            else None
+        )
 
 
 class Planner:
-    """Plans statements and keeps the plans of the `size` texts used last."""
+    """Plans statements and caches the plans of the `size` most recently used texts."""
 
     def __init__(self, schema, size=512):
         self.schema, self.size, self.cache = schema, size, OrderedDict()
         self.hits = self.misses = 0
-        self.unfit = set()  # shapes that cannot be planned with their literals lifted
+        self.unplannable = set()  # (text, types) of parameterized statements that failed to plan
 
     def split(self, text):
-        """The statements of a simple query, as texts. SqlError on what cannot be read."""
+        """Split a simple query into the texts of its statements.
+
+        Raise SqlError if the query cannot be tokenized.
+        """
         if ";" not in text.rstrip().rstrip(";"):
             stripped = text.strip().rstrip(";").strip()
             return [stripped] if stripped and not comment_only(stripped) else []
         try:
             tokens = sqlglot.tokenize(text, read=Dialect)
         except sqlglot.errors.SqlglotError as error:
-            raise syntax(error) from None
-        out, start = [], 0
+            raise syntax_error(error) from None
+        pieces, start = [], 0
         for token in tokens:
             if token.token_type is sqlglot.TokenType.SEMICOLON:
-                out.append(text[start : token.start])
+                pieces.append(text[start : token.start])
                 start = token.end + 1
-        out.append(text[start:])
-        return [piece.strip() for piece in out if piece.strip() and not comment_only(piece)]
+        pieces.append(text[start:])
+        return [piece.strip() for piece in pieces if piece.strip() and not comment_only(piece)]
 
     def plan(self, text, declared=()):
-        """The plan of one statement; SqlError says why there is none. `declared`: parameter types,
-        0 for unknown.
+        """Return the plan of one statement, or raise SqlError.
+
+        `declared` holds the type OIDs of the parameters, 0 for unknown.
         """
         key = (text, declared)
-        found = self.cache.get(key)
-        if found is not None:
+        cached = self.cache.get(key)
+        if cached is not None:
             self.cache.move_to_end(key)
             self.hits += 1
-            return found
+            return cached
         self.misses += 1
-        plan = self.make(text, declared)
-        if len(text) < 16384:  # guards memory: a bound on texts, not only on their number
+        plan = self.make_plan(text, declared)
+        if len(text) < 16384:  # bounds the memory of the cache together with its size
             self.cache[key] = plan
             if len(self.cache) > self.size:
                 self.cache.popitem(last=False)
         return plan
 
     def plan_text(self, text):
-        """(plan, values) of a statement that carries its values in its text: with the plan of those
-        alike.
+        """Return (plan, parameter values) of a statement with its values in the text.
+
+        Statements that differ only in their literals share one plan where possible.
         """
-        lifted = lift(text) if (text, ()) not in self.cache else None
-        if lifted is None:
+        parameterized = parameterize(text) if (text, ()) not in self.cache else None
+        if parameterized is None:
             return self.plan(text), ()
-        shape, oids, values = lifted
-        if (shape, oids) in self.unfit:
+        shape, oids, values = parameterized
+        if (shape, oids) in self.unplannable:
             return self.plan(text), ()
         try:
             plan = self.plan(shape, oids)
             return plan, tuple(
-                value if oid else t.from_text(known, value)
-                for oid, known, value in zip(oids, plan.oids, values, strict=True)
+                value if oid else t.from_text(inferred_oid, value)
+                for oid, inferred_oid, value in zip(oids, plan.oids, values, strict=True)
             )
         except SqlError:
-            # As it came it may be right; or its error names what the client wrote.
-            if len(self.unfit) >= self.size:
-                self.unfit.clear()
-            self.unfit.add((shape, oids))
+            # The original text may be valid; otherwise its error quotes what the client wrote.
+            if len(self.unplannable) >= self.size:
+                self.unplannable.clear()
+            self.unplannable.add((shape, oids))
         except (t.InvalidValueError, ValueError):
             pass
         return self.plan(text), ()
 
-    def cheap(self, text, declared=()):
-        """Whether planning it takes no time to speak of: it is short, or its plan is kept."""
-        return len(text) <= CHEAP_TEXT or (text, declared) in self.cache
+    def is_cheap_to_plan(self, text, declared=()):
+        """Return whether planning takes little time: the text is short or its plan is cached."""
+        return len(text) <= CHEAP_TEXT_CHARS or (text, declared) in self.cache
 
-    def make(self, text, declared):
-        if len(text) > MOST_TEXT:
+    def make_plan(self, text, declared):
+        """Plan one statement without the cache."""
+        if len(text) > MAX_TEXT_CHARS:
             raise SqlError(
-                "54000", f"statement of {len(text)} characters; {MOST_TEXT} at most are read"
+                "54000", f"statement of {len(text)} characters; {MAX_TEXT_CHARS} at most are read"
             )
-        utility = local.utility(text)
-        if utility is not None:
-            if type(utility) is local.Explain:
-                inner = self.plan(utility.text, declared)
+        statement = local.parse_session_statement(text)
+        if statement is not None:
+            if type(statement) is local.Explain:
+                inner = self.plan(statement.text, declared)
                 return Plan(
                     "local",
                     "EXPLAIN",
                     [("QUERY PLAN", t.TEXT)],
                     inner.oids,
                     inner.tables,
-                    statement=local.Explain(utility.text, inner),
+                    statement=local.Explain(statement.text, inner),
                 )
-            columns = [(utility.name, t.TEXT)] if type(utility) is local.Show else []
-            return Plan("local", utility.tag, columns, statement=utility)
+            columns = [(statement.name, t.TEXT)] if type(statement) is local.Show else []
+            return Plan("local", statement.tag, columns, statement=statement)
         try:
             trees = sqlglot.parse(text, read=Dialect)
         except sqlglot.errors.SqlglotError as error:
-            raise syntax(error) from None
+            raise syntax_error(error) from None
         except RecursionError:
             raise SqlError("54001", "statement is nested too deeply") from None
         if len(trees) != 1 or trees[0] is None:
@@ -278,34 +297,35 @@
         tree = trees[0]
         try:
             if isinstance(tree, exp.Select):
-                return self.select(tree, declared)
+                return self.plan_select(tree, declared)
             if isinstance(tree, exp.Insert):
-                return Writing(self.schema, declared).insert(tree)
+                return WritePlanner(self.schema, declared).insert(tree)
             if isinstance(tree, exp.Update):
-                return Writing(self.schema, declared).update(tree)
+                return WritePlanner(self.schema, declared).update(tree)
             if isinstance(tree, exp.Delete):
-                return Writing(self.schema, declared).delete(tree)
+                return WritePlanner(self.schema, declared).delete(tree)
         except RecursionError:
             raise SqlError("54001", "statement is nested too deeply") from None
         if isinstance(tree, exp.Condition):
             raise SqlError("42601", f'syntax error at or near "{text.split()[0][:40]}"')
         raise unsupported(
-            construct(tree) if not isinstance(tree, exp.Command) else f"{tree.name.upper()}",
+            construct_name(tree) if not isinstance(tree, exp.Command) else f"{tree.name.upper()}",
             "the root takes SELECT, INSERT, UPDATE, DELETE and session statements",
         )
 
-    def select(self, tree, declared):
+    def plan_select(self, tree, declared):
         source = tree.args.get("from_")
         if source is None:
-            return local.select(tree, declared)
-        if local.covers(tree):
-            return local.covered(tree)
-        if local.catalogue(tree):
-            return local.empty(tree, declared)
-        return Reading(self.schema, declared).plan(tree)
+            return local.plan_tableless_select(tree, declared)
+        if local.reads_coverage(tree):
+            return local.plan_coverage_select(tree)
+        if local.reads_type_catalog(tree):
+            return local.plan_type_lookup(tree, declared)
+        return SelectPlanner(self.schema, declared).plan(tree)
 
 
 def comment_only(text):
+    """Return whether a text consists of comments only."""
     if "--" not in text and "/*" not in text:
         return False
     try:
@@ -314,20 +334,21 @@
         return False
 
 
-def syntax(error):
-    found = getattr(error, "errors", None)
-    if found:
-        near = (found[0].get("highlight") or "")[:60]
+def syntax_error(error):
+    """Convert an error of the parser library to an SqlError."""
+    errors = getattr(error, "errors", None)
+    if errors:
+        near = (errors[0].get("highlight") or "")[:60]
         return SqlError(
             "42601",
-            f'syntax error at or near "{near}" (line {found[0].get("line")}): '
-            f'{found[0].get("description", "")[:120]}',
+            f'syntax error at or near "{near}" (line {errors[0].get("line")}): '
+            f'{errors[0].get("description", "")[:120]}',
         )
     return SqlError("42601", f"syntax error: {str(error)[:160]}")
 
 
 def conjuncts(node):
-    """The terms of an AND, through parentheses."""
+    """Yield the terms of nested ANDs, without the parentheses around them."""
     if node is None:
         return
     if isinstance(node, exp.And):
@@ -340,33 +361,36 @@
 
 
 def operand(node):
-    """An Operand of a literal or a parameter; None for anything else."""
-    n = parameter(node)
-    if n is not None:
-        return Operand(n=n)
+    """Return the Operand of a literal, a parameter or a cast of one to an integer type, or None."""
+    bound_number = parameter_number(node)
+    if bound_number is not None:
+        return Operand(number=bound_number)
     if isinstance(node, exp.Paren):
         return operand(node.this)
     if isinstance(node, exp.Cast) and not isinstance(node.this, exp.Cast):
         inner, oid = operand(node.this), cast_type(node)
-        return Operand(inner.value, inner.n, oid) if inner is not None and oid in t.INTS else None
+        return (
+            Operand(inner.value, inner.number, oid) if inner is not None and oid in t.INTS else None
+        )
     if isinstance(node, exp.Neg) and isinstance(node.this, exp.Literal) and not node.this.is_string:
-        return Operand(-number(node.this.this))
+        return Operand(-parse_number(node.this.this))
     if isinstance(node, exp.Literal):
         try:
-            return Operand(number(node.this))
+            return Operand(parse_number(node.this))
         except (ValueError, ArithmeticError):
             return None
     return Operand(None) if isinstance(node, exp.Null) else None
 
 
-def number(text):
+def parse_number(text):
+    """Return a number as an int if it has only digits, otherwise as a Decimal."""
     text = text.strip()
     return int(text) if text.lstrip("-").isdigit() else Decimal(text)
 
 
-class Statement:
-    """What reading and writing share: scope, types, columns made unambiguous, conditions on the
-    shard column.
+class StatementPlanner:
+    """Common base of SelectPlanner and WritePlanner: scope, types, qualified column names and
+    conditions on the shard column.
     """
 
     def __init__(self, schema, declared):
@@ -374,92 +398,102 @@
         self.typer = Typer(self.scope)
 
     def add_table(self, node):
+        """Add a table to the scope and return its alias."""
         if not isinstance(node, exp.Table):
             raise unsupported(
-                construct(node) if not isinstance(node, exp.Values) else "VALUES in FROM"
+                construct_name(node) if not isinstance(node, exp.Values) else "VALUES in FROM"
             )
         check(node, "this", "alias", "db")
         if not isinstance(node.this, exp.Identifier):
-            raise unsupported(construct(node.this))
-        if node.args.get("db") is not None and folded(node.args["db"]) != "public":
+            raise unsupported(construct_name(node.this))
+        if node.args.get("db") is not None and folded_name(node.args["db"]) != "public":
             raise SqlError(
-                "42P01", f'relation "{folded(node.args["db"])}.{folded(node.this)}" does not exist'
+                "42P01",
+                f'relation "{folded_name(node.args["db"])}.{folded_name(node.this)}" '
+                "does not exist",
             )
         node.set("db", None)
-        table, alias = self.schema.table(folded(node.this)), node.args.get("alias")
+        table, alias = self.schema.table(folded_name(node.this)), node.args.get("alias")
         if alias is not None:
             check(alias, "this")
-        name = folded(alias.this) if alias is not None else table.name
+        name = folded_name(alias.this) if alias is not None else table.name
         if name in self.scope.tables:
             raise SqlError("42712", f'table name "{name}" specified more than once')
-        if len(self.scope.tables) >= MOST_TABLES:
-            raise SqlError("54000", f"a statement joins {MOST_TABLES} tables at most")
+        if len(self.scope.tables) >= MAX_JOINED_TABLES:
+            raise SqlError("54000", f"a statement joins {MAX_JOINED_TABLES} tables at most")
         self.scope.tables[name] = table
         return name
 
     def qualify(self, node):
-        """Every column of an expression gets its table's name, so that equal expressions read
-        alike.
+        """Return an expression with table names on all columns, so that equal expressions have
+        equal text.
         """
 
-        def change(found):
-            if isinstance(found, exp.Column) and not isinstance(found.this, exp.Star):
-                alias, _, name = self.scope.column(found)
+        def qualify_column(child):
+            if isinstance(child, exp.Column) and not isinstance(child.this, exp.Star):
+                alias, _, name = self.scope.column(child)
                 return exp.column(
                     exp.to_identifier(name, quoted=False), exp.to_identifier(alias, quoted=False)
                 )
-            return found
+            return child
 
-        return node.transform(change)
+        return node.transform(qualify_column)
 
-    def is_shard(self, node, aliases):
+    def is_shard_column(self, node, aliases):
+        """Return whether a node is the shard column of one of the tables."""
         if not isinstance(node, exp.Column) or isinstance(node.this, exp.Star):
             return False
         alias, table, name = self.scope.column(node)
         return alias in aliases and name == table.shard_column
 
-    def conditions(self, where, aliases):
-        """What the WHERE says of the shard column, as far as it is plain to see."""
-        out = []
+    def shard_conditions(self, where, aliases):
+        """Return the conditions on the shard column that are top-level terms of a WHERE."""
+        conditions = []
         names = {exp.LT: "lt", exp.LTE: "le", exp.GT: "gt", exp.GTE: "ge"}
         mirrored = {"lt": "gt", "le": "ge", "gt": "lt", "ge": "le"}
         for term in conjuncts(where):
             if isinstance(term, exp.EQ) or type(term) in names:
-                for left, right, turned in (
+                for left, right, is_swapped in (
                     (term.this, term.expression, False),
                     (term.expression, term.this, True),
                 ):
                     value = operand(right)
-                    if self.is_shard(left, aliases) and value is not None:
+                    if self.is_shard_column(left, aliases) and value is not None:
                         op = "in" if isinstance(term, exp.EQ) else names[type(term)]
-                        out.append((mirrored.get(op, op) if turned else op, (value,)))
+                        conditions.append((mirrored.get(op, op) if is_swapped else op, (value,)))
                         break
-            elif isinstance(term, exp.Between) and self.is_shard(term.this, aliases):
+            elif isinstance(term, exp.Between) and self.is_shard_column(term.this, aliases):
                 low, high = operand(term.args["low"]), operand(term.args["high"])
-                out += [("ge", (low,))] if low is not None else []
-                out += [("le", (high,))] if high is not None else []
-            elif isinstance(term, exp.In) and self.is_shard(term.this, aliases):
+                conditions += [("ge", (low,))] if low is not None else []
+                conditions += [("le", (high,))] if high is not None else []
+            elif isinstance(term, exp.In) and self.is_shard_column(term.this, aliases):
                 values = tuple(operand(item) for item in term.expressions)
                 if None not in values:
-                    out.append(("in", values))
-        return tuple(out)
+                    conditions.append(("in", values))
+        return tuple(conditions)
 
     def shard_oid(self, alias):
+        """Return the type OID of a table's shard column."""
         table = self.scope.tables[alias]
         return table.columns[table.shard_column]
 
-    def in_range(self, where, alias, first):
-        """The WHERE with the part's own range added, as parameters `first` and the next."""
+    def where_in_range(self, where, alias, first):
+        """Return the WHERE clause restricted to the part's range.
+
+        The range's bounds are the parameters `first` and `first + 1`.
+        """
         column = exp.column(self.scope.tables[alias].shard_column, alias)
         low, high = (exp.Parameter(this=exp.Literal.number(n)) for n in (first, first + 1))
-        own = exp.and_(
+        range_condition = exp.and_(
             exp.GTE(this=column.copy(), expression=low), exp.LT(this=column.copy(), expression=high)
         )
         return exp.Where(
-            this=own if where is None else exp.and_(exp.paren(where, copy=False), own, copy=False)
+            this=range_condition
+            if where is None
+            else exp.and_(exp.paren(where, copy=False), range_condition, copy=False)
         )
 
-    def star(self):
+    def all_columns(self):
         return [
             exp.column(name, alias)
             for alias, table in self.scope.tables.items()
@@ -467,14 +501,14 @@
         ]
 
     def expand(self, expressions):
-        """The expressions of a SELECT or RETURNING list, stars opened, each with its name."""
+        """Return (expression, name) of each item in a SELECT or RETURNING list; expand stars."""
         out = []
         for node in expressions:
             if isinstance(node, exp.Star):
                 check(node)
-                out += [(column, column.name) for column in self.star()]
+                out += [(column, column.name) for column in self.all_columns()]
             elif isinstance(node, exp.Column) and isinstance(node.this, exp.Star):
-                alias = folded(node.args["table"])
+                alias = folded_name(node.args["table"])
                 if alias not in self.scope.tables:
                     raise SqlError("42P01", f'missing FROM-clause entry for table "{alias}"')
                 out += [
@@ -482,7 +516,7 @@
                 ]
             elif isinstance(node, exp.Alias):
                 check(node, "this", "alias")
-                out.append((node.this, folded(node.args["alias"])))
+                out.append((node.this, folded_name(node.args["alias"])))
             else:
                 out.append((node, output_name(node)))
         if len(out) > 1600:
@@ -491,9 +525,9 @@
 
 
 def output_name(node):
-    """The name PostgreSQL gives an output column that has none."""
+    """Return the name that PostgreSQL gives to an output column without an alias."""
     if isinstance(node, exp.Column):
-        return folded(node.this)
+        return folded_name(node.this)
     if isinstance(node, (exp.Paren, exp.Collate, exp.Filter)):
         return output_name(node.this)
     if isinstance(node, exp.Cast):
@@ -510,12 +544,12 @@
     return "?column?"
 
 
-def aggregated(node):
+def has_aggregate(node):
     return node is not None and any(True for _ in node.find_all(*AGGREGATES))
 
 
-def collated(node, oid):
-    """Text is ordered by collation "C" at every leaf, so that the root's order is the same."""
+def with_c_collation(node, oid):
+    """Return a text expression with collation "C", so that leaves and root sort text alike."""
     if oid in t.TEXTS and not isinstance(node, exp.Collate):
         return exp.Collate(
             this=exp.paren(node) if not isinstance(node, (exp.Column, exp.Func)) else node,
@@ -524,7 +558,7 @@
     return node
 
 
-class Reading(Statement):
+class SelectPlanner(StatementPlanner):
     """Plans a SELECT."""
 
     def plan(self, tree):
@@ -543,36 +577,39 @@
         )
         check(tree.args["from_"], "this")
         base = self.add_table(tree.args["from_"].this)
-        equal = self.joins(tree)
+        equalities = self.add_joins(tree)
         where = tree.args.get("where")
         where = self.qualify(where.this) if where is not None else None
         if where is not None:
-            self.typer.boolean(where, False, "WHERE")
-        self.linked(base, equal, where)
+            self.typer.require_boolean(where, False, "WHERE")
+        self.check_joins(base, equalities, where)
         outputs = [(self.qualify(node), name) for node, name in self.expand(tree.expressions)]
         if not outputs:
             raise unsupported("an empty select list", "name a column")
         distinct = tree.args.get("distinct")
         if distinct is not None:
             check(distinct)
-        order = self.order(tree.args.get("order"), outputs)
+        order = self.sort_items(tree.args.get("order"), outputs)
         group = tree.args.get("group")
         having = tree.args.get("having")
         if (
             group is not None
             or having is not None
-            or any(aggregated(node) for node, _ in outputs + order)
+            or any(has_aggregate(node) for node, _ in outputs + order)
         ):
-            columns, leaf, gather = self.grouped(
+            columns, leaf, gather = self.plan_grouped(
                 outputs, order, group, having, distinct is not None
             )
         else:
-            columns, leaf, gather = self.plain(outputs, order, distinct is not None)
-        gather.limit, gather.offset = self.bound(tree, "limit"), self.bound(tree, "offset")
-        count = self.scope.most
+            columns, leaf, gather = self.plan_ungrouped(outputs, order, distinct is not None)
+        gather.limit, gather.offset = (
+            self.limit_operand(tree, "limit"),
+            self.limit_operand(tree, "offset"),
+        )
+        count = self.scope.parameter_count
         leaf.set("from_", tree.args["from_"])
         leaf.set("joins", tree.args.get("joins"))
-        leaf.set("where", self.in_range(where, base, count + 1))
+        leaf.set("where", self.where_in_range(where, base, count + 1))
         limited = gather.limit is not None and not gather.grouped
         if limited:
             leaf.set(
@@ -583,8 +620,8 @@
             "SELECT",
             columns,
             self.scope.oids(),
-            tuple(sorted({x.name for x in self.scope.tables.values()})),
-            self.conditions(where, self.same),
+            tuple(sorted({table.name for table in self.scope.tables.values()})),
+            self.shard_conditions(where, self.colocated_tables),
             self.shard_oid(base),
             leaf.sql("postgres"),
             limited,
@@ -593,9 +630,16 @@
 
     # ---- joins ----
 
-    def joins(self, tree):
-        """Takes the joins in; gives the equalities between columns that hold for every joined row."""
-        equal, self.inner, self.scope.merged = [], {next(iter(self.scope.tables))}, set()
+    def add_joins(self, tree):
+        """Add joined tables to the scope and return the equalities between columns in their joins.
+
+        An equality is (alias of the joined table, (alias, column), (alias, column)).
+        """
+        equalities, self.inner_tables, self.scope.using_columns = (
+            [],
+            {next(iter(self.scope.tables))},
+            set(),
+        )
         for join in tree.args.get("joins") or ():
             side, kind = (
                 (join.args.get("side") or "").upper(),
@@ -609,34 +653,37 @@
                 or kind == "OUTER"
                 and side != "LEFT"
             ):
-                raise unsupported(" ".join(w for w in (side, kind, "JOIN") if w))
+                raise unsupported(" ".join(word for word in (side, kind, "JOIN") if word))
             check(join, "this", "side", "kind", "on", "using")
-            before = list(self.scope.tables)
+            earlier_tables = list(self.scope.tables)
             alias = self.add_table(join.this)
             if side == "":
-                self.inner.add(alias)
+                self.inner_tables.add(alias)
             for column in join.args.get("using") or ():
-                name = folded(column)
-                left = next((a for a in before if name in self.scope.tables[a].columns), None)
+                name = folded_name(column)
+                left = next(
+                    (a for a in earlier_tables if name in self.scope.tables[a].columns), None
+                )
                 if left is None or name not in self.scope.tables[alias].columns:
                     raise SqlError(
                         "42703",
                         f'column "{name}" specified in USING clause does not exist in both tables',
                     )
-                self.scope.merged.add(name)
-                equal.append((alias, (left, name), (alias, name)))
+                self.scope.using_columns.add(name)
+                equalities.append((alias, (left, name), (alias, name)))
             on = join.args.get("on")
             if on is not None:
                 join.set("on", self.qualify(on))
-                self.typer.boolean(join.args["on"], False, "JOIN/ON")
-                equal += [(alias, a, b) for a, b in self.equalities(join.args["on"])]
+                self.typer.require_boolean(join.args["on"], False, "JOIN/ON")
+                equalities += [(alias, a, b) for a, b in self.column_equalities(join.args["on"])]
             elif not join.args.get("using") and side:
                 raise SqlError("42601", "a LEFT JOIN needs ON or USING")
-        if self.scope.merged and any(isinstance(e, exp.Star) for e in tree.expressions):
+        if self.scope.using_columns and any(isinstance(e, exp.Star) for e in tree.expressions):
             raise unsupported("* over a join with USING", "name the columns")
-        return equal
+        return equalities
 
-    def equalities(self, condition):
+    def column_equalities(self, condition):
+        """Yield pairs of (alias, column) that a condition equates."""
         for term in conjuncts(condition):
             if (
                 isinstance(term, exp.EQ)
@@ -648,47 +695,48 @@
                     for side in (term.this, term.expression)
                 )
 
-    def linked(self, base, equal, where):
-        """Every joined table must be tied to the base by its shard column, else parts would miss
-        partners that lie in other ranges. `same`: the tables whose shard column equals the base's
-        in every row shown.
+    def check_joins(self, base, equalities, where):
+        """Raise 0A000 unless every joined table is tied to the base table by the shard columns.
+
+        Otherwise a part would miss matching rows in other ranges. Set `colocated_tables` to the
+        tables whose shard column equals that of the base table in every row of the result.
         """
-        found = [(None, a, b) for a, b in self.equalities(where)] + equal
+        candidates = [(None, a, b) for a, b in self.column_equalities(where)] + equalities
 
-        def shard(side):
+        def is_shard_column(side):
             return side[1] == self.scope.tables[side[0]].shard_column
 
-        tied, grown = {base}, True
-        while grown:
-            grown = False
-            for alias, a, b in found:
-                if not (shard(a) and shard(b)):
+        tied, changed = {base}, True
+        while changed:
+            changed = False
+            for alias, a, b in candidates:
+                if not (is_shard_column(a) and is_shard_column(b)):
                     continue
                 for one, other in ((a[0], b[0]), (b[0], a[0])):
-                    # A condition in WHERE ties inner joins only; one in ON ties the table that it
-                    # joins.
+                    # A condition in WHERE ties only inner-joined tables; one in ON ties the table
+                    # of that join.
                     if (
                         one in tied
                         and other not in tied
-                        and (other in self.inner if alias is None else other == alias)
+                        and (other in self.inner_tables if alias is None else other == alias)
                     ):
                         tied.add(other)
-                        grown = True
+                        changed = True
         for alias in self.scope.tables:
             if alias not in tied:
                 table = self.scope.tables[alias]
                 raise unsupported(
-                    f'a join with "{alias}" that does not equate {alias}.{table.shard_column} with the other '
-                    "table's shard column",
+                    f'a join with "{alias}" that does not equate {alias}.{table.shard_column} '
+                    "with the other table's shard column",
                     "its rows may lie in other bin ranges",
                 )
-        self.same = tied & self.inner
+        self.colocated_tables = tied & self.inner_tables
 
     # ---- ORDER BY, LIMIT ----
 
-    def order(self, order, outputs):
-        """[(expression, Ordered)] with names and positions of output columns resolved."""
-        out = []
+    def sort_items(self, order, outputs):
+        """Return [(expression, Ordered)] with names and positions of output columns resolved."""
+        items = []
         for item in order.expressions if order is not None else ():
             check(item, "this", "desc", "nulls_first")
             node = item.this
@@ -697,24 +745,27 @@
                     raise SqlError("42P10", f"ORDER BY position {node.this} is not in select list")
                 node = outputs[int(node.this) - 1][0]
             else:
-                node = self.named(node, outputs) or self.qualify(node)
-            out.append((node, item))
-        return out
+                node = self.output_named(node, outputs) or self.qualify(node)
+            items.append((node, item))
+        return items
 
-    def named(self, node, outputs):
-        """The output column that a bare name means, if one has it."""
+    def output_named(self, node, outputs):
+        """Return the output column that an unqualified name refers to, or None."""
         if (
             isinstance(node, exp.Column)
             and node.args.get("table") is None
             and not isinstance(node.this, exp.Star)
         ):
-            found = {out.sql("postgres"): out for out, name in outputs if name == folded(node.this)}
+            found = {
+                out.sql("postgres"): out for out, name in outputs if name == folded_name(node.this)
+            }
             if len(found) > 1:
-                raise SqlError("42702", f'ORDER BY "{folded(node.this)}" is ambiguous')
+                raise SqlError("42702", f'ORDER BY "{folded_name(node.this)}" is ambiguous')
             return next(iter(found.values()), None)
         return None
 
-    def bound(self, tree, key):
+    def limit_operand(self, tree, key):
+        """Return the operand of LIMIT or OFFSET, or None."""
         node = tree.args.get(key)
         if node is None:
             return None
@@ -731,23 +782,26 @@
         if isinstance(value, (exp.Null, exp.Var)) and value.sql().upper() in ("NULL", "ALL"):
             return None
         found = operand(value)
-        if found is None or found.n is None and not isinstance(found.value, int):
+        if found is None or found.number is None and not isinstance(found.value, int):
             raise unsupported(f"{key.upper()} with an expression", "give a number or a parameter")
-        if found.n is not None:
+        if found.number is not None:
             self.typer.type(value, t.INT8)
         return found
 
     # ---- without groups ----
 
-    def plain(self, outputs, order, distinct):
-        columns = [(name, known(self.typer.type(node))) for node, name in outputs]
+    def plan_ungrouped(self, outputs, order, distinct):
+        """Return (output columns, SELECT for the leaf, Gather) of a query without groups."""
+        columns = [(name, resolved_type(self.typer.type(node))) for node, name in outputs]
         leaf = exp.Select()
-        texts = {node.sql("postgres"): n for n, (node, _) in reversed(list(enumerate(outputs)))}
-        shown = [exp.alias_(node, f"c{n}", quoted=False) for n, (node, _) in enumerate(outputs)]
+        output_positions = {
+            node.sql("postgres"): n for n, (node, _) in reversed(list(enumerate(outputs)))
+        }
+        selected = [exp.alias_(node, f"c{n}", quoted=False) for n, (node, _) in enumerate(outputs)]
         oids, keys, ordered = [oid for _, oid in columns], [], []
         for node, item in order:
-            oid = known(self.typer.type(node))
-            at = texts.get(node.sql("postgres"))
+            oid = resolved_type(self.typer.type(node))
+            at = output_positions.get(node.sql("postgres"))
             if at is None:
                 if distinct:
                     raise SqlError(
@@ -756,24 +810,24 @@
                     )
                 at = len(oids)
                 oids.append(oid)
-                shown.append(exp.alias_(node.copy(), f"s{at}", quoted=False))
+                selected.append(exp.alias_(node.copy(), f"s{at}", quoted=False))
             keys.append(
-                Key(at, oid, bool(item.args.get("desc")), bool(item.args.get("nulls_first")))
+                SortKey(at, oid, bool(item.args.get("desc")), bool(item.args.get("nulls_first")))
             )
             ordered.append(
                 exp.Ordered(
-                    this=collated(node.copy(), oid),
+                    this=with_c_collation(node.copy(), oid),
                     desc=item.args.get("desc"),
                     nulls_first=item.args.get("nulls_first"),
                 )
             )
-        leaf.set("expressions", shown)
+        leaf.set("expressions", selected)
         if distinct:
-            # Grouped by all columns rather than DISTINCT: so the order may name a collation, and a
-            # LIMIT may go with it.
+            # GROUP BY all columns instead of DISTINCT lets ORDER BY use a collation, and therefore
+            # allows a LIMIT.
             leaf.set(
                 "group",
-                exp.Group(expressions=[exp.Literal.number(n + 1) for n in range(len(shown))]),
+                exp.Group(expressions=[exp.Literal.number(n + 1) for n in range(len(selected))]),
             )
         if ordered:
             leaf.set("order", exp.Order(expressions=ordered))
@@ -782,55 +836,64 @@
 
     # ---- with groups ----
 
-    def grouped(self, outputs, order, group, having, distinct):
+    def plan_grouped(self, outputs, order, group, having, distinct):
+        """Return (output columns, SELECT for the leaf, Gather) of a query with groups.
+
+        Leaves compute group keys and partial aggregates; the root evaluates everything else over
+        slots, which refer to them.
+        """
         keys = []
         if group is not None:
             check(group, "expressions")
             keys = [self.group_key(node, outputs) for node in group.expressions]
-        key_types = [known(self.typer.type(node)) for node in keys]
-        names = {node.sql("postgres"): ("g", n) for n, node in enumerate(keys)}
-        partials, partial_oids, finals, seen = [], [], [], {}
+        key_types = [resolved_type(self.typer.type(node)) for node in keys]
+        key_slots = {node.sql("postgres"): ("g", n) for n, node in enumerate(keys)}
+        partials, partial_oids, aggregate_columns, aggregate_slots = [], [], [], {}
 
         def slot(node):
-            """Marks what is known per group; everything else is evaluated above it."""
+            """Return the slot of a group key or an aggregate, or None for any other node."""
             text = node.sql("postgres")
-            if text in names:
-                return names[text]
+            if text in key_slots:
+                return key_slots[text]
             inner = node.this if isinstance(node, exp.Filter) else node
             if isinstance(inner, AGGREGATES):
-                if text not in seen:
-                    seen[text] = ("a", len(finals))
-                    finals.append((type(inner).__name__.lower(), len(keys) + len(partials)))
-                    for part, oid in self.partial(node, inner):
-                        partials.append(part)
+                if text not in aggregate_slots:
+                    aggregate_slots[text] = ("a", len(aggregate_columns))
+                    aggregate_columns.append(
+                        (type(inner).__name__.lower(), len(keys) + len(partials))
+                    )
+                    for partial, oid in self.partial_aggregates(node, inner):
+                        partials.append(partial)
                         partial_oids.append(oid)
-                return seen[text]
+                return aggregate_slots[text]
             return None
 
-        def marked(node):
-            key = slot(node)
-            if key is not None:
-                node.set("slot", key)
+        def set_slots(node):
+            found = slot(node)
+            if found is not None:
+                node.set("slot", found)
                 return
             if isinstance(node, exp.Column):
                 raise SqlError(
                     "42803",
-                    f'column "{node.sql("postgres")}" must appear in the GROUP BY clause or be used '
-                    "in an aggregate function",
+                    f'column "{node.sql("postgres")}" must appear in the GROUP BY clause or be '
+                    "used in an aggregate function",
                 )
             for child in node.iter_expressions():
                 if not isinstance(child, (exp.DataType, exp.Identifier)):
-                    marked(child)
+                    set_slots(child)
 
         columns, expressions = [], []
         for node, name in outputs:
-            columns.append((name, known(self.typer.type(node, aggregates=True))))
+            columns.append((name, resolved_type(self.typer.type(node, aggregates=True))))
             expressions.append(node.copy())
-        sort = []
-        shown = {node.sql("postgres"): n for n, (node, _) in reversed(list(enumerate(outputs)))}
+        sort_keys = []
+        output_positions = {
+            node.sql("postgres"): n for n, (node, _) in reversed(list(enumerate(outputs)))
+        }
         for node, item in order:
-            oid = known(self.typer.type(node, aggregates=True))
-            at = shown.get(node.sql("postgres"))
+            oid = resolved_type(self.typer.type(node, aggregates=True))
+            at = output_positions.get(node.sql("postgres"))
             if at is None:
                 if distinct:
                     raise SqlError(
@@ -839,15 +902,15 @@
                     )
                 at = len(expressions)
                 expressions.append(node.copy())
-            sort.append(
-                Key(at, oid, bool(item.args.get("desc")), bool(item.args.get("nulls_first")))
+            sort_keys.append(
+                SortKey(at, oid, bool(item.args.get("desc")), bool(item.args.get("nulls_first")))
             )
         condition = None
         if having is not None:
             condition = self.qualify(having.this)
-            self.typer.boolean(condition, True, "HAVING")
+            self.typer.require_boolean(condition, True, "HAVING")
         for node in expressions + ([condition] if condition is not None else []):
-            marked(node)
+            set_slots(node)
         leaf = exp.Select(
             expressions=[exp.alias_(node.copy(), f"c{n}") for n, node in enumerate(keys + partials)]
         )
@@ -862,17 +925,18 @@
         gather = Gather(
             len(columns),
             tuple(key_types + partial_oids),
-            tuple(sort),
+            tuple(sort_keys),
             distinct,
             grouped=True,
-            groups=len(keys),
-            finals=tuple(finals),
+            group_columns=len(keys),
+            aggregate_columns=tuple(aggregate_columns),
             outputs=tuple(expressions),
             having=condition,
         )
         return columns, leaf, gather
 
     def group_key(self, node, outputs):
+        """Return the expression of a GROUP BY item: a position, a column name or an expression."""
         if isinstance(node, exp.Literal) and not node.is_string:
             if not node.this.isdigit() or not 1 <= int(node.this) <= len(outputs):
                 raise SqlError("42P10", f"GROUP BY position {node.this} is not in select list")
@@ -881,59 +945,65 @@
             try:
                 found = self.qualify(node)
             except SqlError as error:
-                found = self.named(node, outputs) if error.sqlstate == "42703" else None
+                found = self.output_named(node, outputs) if error.sqlstate == "42703" else None
                 if found is None:
                     raise
-        if aggregated(found):
+        if has_aggregate(found):
             raise SqlError("42803", "aggregate functions are not allowed in GROUP BY")
         return found
 
-    def partial(self, node, inner):
-        """What a leaf computes for an aggregate: [(expression, type)]."""
+    def partial_aggregates(self, node, inner):
+        """Return [(expression, type OID)] that a leaf computes for an aggregate.
+
+        `node` is the aggregate `inner` or the FILTER around it.
+        """
 
-        def kept(made):
+        def with_filter(aggregate):
             if isinstance(node, exp.Filter):
-                return exp.Filter(this=made, expression=node.expression.copy())
-            return made
+                return exp.Filter(this=aggregate, expression=node.expression.copy())
+            return aggregate
 
         if isinstance(inner, exp.Count):
-            return [(kept(inner.copy()), t.INT8)]
-        oid = known(self.typer.type(inner.this))
+            return [(with_filter(inner.copy()), t.INT8)]
+        oid = resolved_type(self.typer.type(inner.this))
         if isinstance(inner, (exp.Min, exp.Max)):
-            return [(kept(type(inner)(this=collated(inner.this.copy(), oid))), oid)]
-        total = known(self.typer.type(exp.Sum(this=inner.this.copy()), aggregates=True))
+            return [(with_filter(type(inner)(this=with_c_collation(inner.this.copy(), oid))), oid)]
+        total = resolved_type(self.typer.type(exp.Sum(this=inner.this.copy()), aggregates=True))
         if total == t.FLOAT4:
             total = t.FLOAT8
-        out = [(kept(exp.Sum(this=inner.this.copy())), total)]
+        partials = [(with_filter(exp.Sum(this=inner.this.copy())), total)]
         if isinstance(inner, exp.Avg):
-            out.append((kept(exp.Count(this=inner.this.copy())), t.INT8))
-        return out
+            partials.append((with_filter(exp.Count(this=inner.this.copy())), t.INT8))
+        return partials
 
 
-def known(oid):
+def resolved_type(oid):
+    """Return a type OID, or that of text for an unknown type."""
     return t.TEXT if oid == t.UNKNOWN else oid
 
 
-class Writing(Statement):
-    """Plans INSERT, UPDATE and DELETE: each must name one bin range."""
+class WritePlanner(StatementPlanner):
+    """Plans INSERT, UPDATE and DELETE; each has to be confined to one bin range."""
 
-    def target(self, node):
+    def add_target(self, node):
+        """Add the table that is written to the scope and return (alias, table)."""
         alias = self.add_table(node)
         return alias, self.scope.tables[alias]
 
-    def returning(self, tree):
+    def returning_clause(self, tree):
+        """Return (output columns, RETURNING clause or None)."""
         returning = tree.args.get("returning")
         if returning is None:
             return [], None
         check(returning, "expressions")
         nodes = [(self.qualify(node), name) for node, name in self.expand(returning.expressions)]
-        columns = [(name, known(self.typer.type(node))) for node, name in nodes]
-        # An UPDATE or DELETE may name its table by the alias only; so may RETURNING.
+        columns = [(name, resolved_type(self.typer.type(node))) for node, name in nodes]
+        # As in the rest of UPDATE and DELETE, RETURNING may name the table only by its alias.
         return columns, exp.Returning(
             expressions=[exp.alias_(n, f"c{k}") for k, (n, _) in enumerate(nodes)]
         )
 
-    def made(self, verb, alias, table, columns, sql, **more):
+    def write_plan(self, verb, alias, table, columns, sql, **more):
         return Plan(
             "write",
             verb,
@@ -954,10 +1024,10 @@
             if isinstance(target, exp.Table):
                 target = exp.Schema(this=target, expressions=[])
             else:
-                raise unsupported(construct(tree))
+                raise unsupported(construct_name(tree))
         check(target, "this", "expressions")
-        alias, table = self.target(target.this)
-        names = [folded(column) for column in target.expressions] or list(table.columns)
+        alias, table = self.add_target(target.this)
+        names = [folded_name(column) for column in target.expressions] or list(table.columns)
         for name in names:
             if name not in table.columns:
                 raise SqlError(
@@ -975,7 +1045,7 @@
                 "INSERT ... SELECT" if tree.expression is not None else "INSERT ... DEFAULT VALUES"
             )
         check(tree.expression, "expressions")
-        at, shards = names.index(table.shard_column), []
+        at, shard_values = names.index(table.shard_column), []
         for row in tree.expression.expressions:
             items = (
                 row.expressions
@@ -989,9 +1059,13 @@
             for name, item in zip(names, items, strict=True):
                 want = table.columns[name]
                 oid = self.typer.type(item, want)
-                self.fits(oid, want, name)
-            shards.append(operand(items[at]))
-            if shards[-1] is None or shards[-1].n is None and not isinstance(shards[-1].value, int):
+                self.check_assignable(oid, want, name)
+            shard_values.append(operand(items[at]))
+            if (
+                shard_values[-1] is None
+                or shard_values[-1].number is None
+                and not isinstance(shard_values[-1].value, int)
+            ):
                 raise unsupported(
                     f"{table.shard_column} given by an expression",
                     "its bin range would not be known",
@@ -1001,28 +1075,29 @@
             check(conflict, "action", "conflict_keys")
             if "NOTHING" not in conflict.args["action"].name.upper():
                 raise unsupported("ON CONFLICT DO UPDATE")
-        columns, returning = self.returning(tree)
-        made = exp.Insert(
+        columns, returning = self.returning_clause(tree)
+        statement = exp.Insert(
             this=exp.Schema(
-                this=tree_table(table, alias), expressions=[exp.to_identifier(n) for n in names]
+                this=table_node(table, alias), expressions=[exp.to_identifier(n) for n in names]
             ),
             expression=tree.expression,
             conflict=conflict,
             returning=returning,
         )
-        return self.made(
+        return self.write_plan(
             "INSERT",
             alias,
             table,
             columns,
-            made.sql("postgres"),
-            rows=tuple(shards),
-            told=conflict is None,
+            statement.sql("postgres"),
+            inserted_shard_values=tuple(shard_values),
+            row_count_known=conflict is None,
         )
 
-    def fits(self, oid, want, name):
+    def check_assignable(self, oid, want, name):
+        """Raise 42804 unless a value of one type can be assigned to a column of another."""
         try:
-            self.typer.common(oid, want, "=")
+            self.typer.common_type(oid, want, "=")
         except SqlError:
             raise SqlError(
                 "42804",
@@ -1030,27 +1105,29 @@
                 f"{t.NAMES.get(oid, oid)}",
             ) from None
 
-    def ranged(self, tree, alias):
+    def qualified_where(self, tree, alias):
+        """Return (condition of the WHERE or None, conditions on the shard column)."""
         where = tree.args.get("where")
         where = self.qualify(where.this) if where is not None else None
         if where is not None:
-            self.typer.boolean(where, False, "WHERE")
-        return where, self.conditions(where, {alias})
+            self.typer.require_boolean(where, False, "WHERE")
+        return where, self.shard_conditions(where, {alias})
 
-    def counting(self, table, alias, where):
+    def count_query(self, table, alias, where):
+        """Return the SQL that counts the rows that an UPDATE or DELETE would change."""
         count = exp.Select(expressions=[exp.alias_(exp.Count(this=exp.Star()), "c0")])
-        count.set("from_", exp.From(this=tree_table(table, alias)))
+        count.set("from_", exp.From(this=table_node(table, alias)))
         count.set("where", where.copy())
         return count.sql("postgres")
 
     def update(self, tree):
         check(tree, "this", "expressions", "where", "returning")
-        alias, table = self.target(tree.this)
-        sets = []
+        alias, table = self.add_target(tree.this)
+        assignments = []
         for assignment in tree.expressions:
             if not isinstance(assignment, exp.EQ) or not isinstance(assignment.this, exp.Column):
                 raise unsupported(f"SET {assignment.sql('postgres')[:60]}")
-            name = folded(assignment.this.this)
+            name = folded_name(assignment.this.this)
             if name not in table.columns:
                 raise SqlError(
                     "42703", f'column "{name}" of relation "{table.name}" does not exist'
@@ -1060,43 +1137,50 @@
                     f"setting {name}", "the row might have to move to another bin range"
                 )
             value = self.qualify(assignment.expression)
-            self.fits(self.typer.type(value, table.columns[name]), table.columns[name], name)
-            sets.append(exp.EQ(this=exp.column(name), expression=value))
-        where, conditions = self.ranged(tree, alias)
-        columns, returning = self.returning(tree)
-        full = self.in_range(where, alias, self.scope.most + 1)
-        made = exp.Update(
-            this=tree_table(table, alias), expressions=sets, where=full, returning=returning
+            self.check_assignable(
+                self.typer.type(value, table.columns[name]), table.columns[name], name
+            )
+            assignments.append(exp.EQ(this=exp.column(name), expression=value))
+        where, conditions = self.qualified_where(tree, alias)
+        columns, returning = self.returning_clause(tree)
+        where_in_range = self.where_in_range(where, alias, self.scope.parameter_count + 1)
+        statement = exp.Update(
+            this=table_node(table, alias),
+            expressions=assignments,
+            where=where_in_range,
+            returning=returning,
         )
-        return self.made(
+        return self.write_plan(
             "UPDATE",
             alias,
             table,
             columns,
-            made.sql("postgres"),
+            statement.sql("postgres"),
             conditions=conditions,
-            count_sql=self.counting(table, alias, full),
+            count_sql=self.count_query(table, alias, where_in_range),
         )
 
     def delete(self, tree):
         check(tree, "this", "where", "returning")
-        alias, table = self.target(tree.this)
-        where, conditions = self.ranged(tree, alias)
-        columns, returning = self.returning(tree)
-        full = self.in_range(where, alias, self.scope.most + 1)
-        made = exp.Delete(this=tree_table(table, alias), where=full, returning=returning)
-        return self.made(
+        alias, table = self.add_target(tree.this)
+        where, conditions = self.qualified_where(tree, alias)
+        columns, returning = self.returning_clause(tree)
+        where_in_range = self.where_in_range(where, alias, self.scope.parameter_count + 1)
+        statement = exp.Delete(
+            this=table_node(table, alias), where=where_in_range, returning=returning
+        )
+        return self.write_plan(
             "DELETE",
             alias,
             table,
             columns,
-            made.sql("postgres"),
+            statement.sql("postgres"),
             conditions=conditions,
-            count_sql=self.counting(table, alias, full),
+            count_sql=self.count_query(table, alias, where_in_range),
         )
 
 
-def tree_table(table, alias):
+def table_node(table, alias):
     node = exp.Table(this=exp.to_identifier(table.name))
     if alias != table.name:
         node.set("alias", exp.TableAlias(this=exp.to_identifier(alias)))
--- a/mothnotch/sql/schema.py
+++ b/mothnotch/sql/schema.py
@@ -1,4 +1,4 @@
-"""Tables, and the ranges that one column of each is sharded by."""
+"""Tables, their shard columns, and the value ranges that the shards hold."""
 
 from bisect import bisect_right
 from dataclasses import dataclass
@@ -34,8 +34,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Schema:
-    """`bounds`: range n holds the shard column's values from bounds[n] up to, and without, bounds[n
-    + 1].
+    """Tables and range bounds.
+
+    Range n holds the values of the shard column from `bounds[n]`, inclusive, to `bounds[n + 1]`,
+    exclusive.
     """
 
     tables: dict
@@ -49,22 +51,22 @@
         return self.bounds[shard], self.bounds[shard + 1]
 
     def shard_of(self, value):
-        """The range of a value, or None where no range holds it."""
-        n = bisect_right(self.bounds, value) - 1
-        return n if 0 <= n < self.shards else None
+        """Return the shard whose range contains a value, or None if no range does."""
+        shard = bisect_right(self.bounds, value) - 1
+        return shard if 0 <= shard < self.shards else None
 
     def table(self, name):
         if name not in self.tables:
             raise SqlError("42P01", f'relation "{name}" does not exist')
         return self.tables[name]
 
-    def within(self, low, high, low_open, high_open):
-        """The ranges that values between the two can lie in; None leaves an end open."""
+    def shards_between(self, low, high, low_exclusive, high_exclusive):
+        """Return the shards that can hold values between two bounds; None means no bound."""
         first, last = 0, self.shards - 1
         if low is not None:
             first = max(0, bisect_right(self.bounds, low) - 1)
             if (
-                low_open
+                low_exclusive
                 and isinstance(low, int)
                 and first < self.shards
                 and low + 1 >= self.bounds[first + 1]
@@ -72,6 +74,6 @@
                 first += 1
         if high is not None:
             last = min(last, bisect_right(self.bounds, high) - 1)
-            if high_open and last >= 0 and high <= self.bounds[last]:
+            if high_exclusive and last >= 0 and high <= self.bounds[last]:
                 last -= 1
         return range(first, last + 1)
--- a/mothnotch/sql/typer.py
+++ b/mothnotch/sql/typer.py
@@ -1,7 +1,8 @@
-"""Types of expressions, and the list of what is taken at all.
+"""Types of expressions, and the allowlist of supported syntax.
 
-Every node of a statement passes here. A node, or a property of a node, that is not on the list is
-refused by name: so nothing is ignored by accident, whatever the parser reads.
+Every node of a statement is checked here. A node, or a property of a node, that is not on the
+allowlist is rejected with an error that names it, so that nothing the parser accepts is ignored by
+accident.
 """
 
 from sqlglot import exp
@@ -10,19 +11,20 @@
 from mothnotch.sql.errors import SqlError, unsupported
 from mothnotch.sql.schema import TYPE_NAMES
 
-NUMBERS = (t.INT2, t.INT4, t.INT8, t.NUMERIC, t.FLOAT4, t.FLOAT8)  # in order of what wins
+# The common type of two numbers is the one that comes later.
+NUMBERS = (t.INT2, t.INT4, t.INT8, t.NUMERIC, t.FLOAT4, t.FLOAT8)
 INTS = (t.INT2, t.INT4, t.INT8)
-COMPARE = (exp.EQ, exp.NEQ, exp.LT, exp.LTE, exp.GT, exp.GTE, exp.NullSafeEQ, exp.NullSafeNEQ)
+COMPARISONS = (exp.EQ, exp.NEQ, exp.LT, exp.LTE, exp.GT, exp.GTE, exp.NullSafeEQ, exp.NullSafeNEQ)
 ARITHMETIC = (exp.Add, exp.Sub, exp.Mul, exp.Div, exp.Mod)
 AGGREGATES = (exp.Count, exp.Sum, exp.Avg, exp.Min, exp.Max)
 TEXT_FUNCTIONS = {exp.Lower: t.TEXT, exp.Upper: t.TEXT, exp.Length: t.INT4, exp.Trim: t.TEXT}
-# Properties that change nothing here: how something was written, not what it means.
-HARMLESS = {"big_int", "safe", "typed", "quoted", "is_string", "_type", "is_function"}
+# Properties that record how something was written and do not affect its meaning.
+IGNORED_PROPERTIES = {"big_int", "safe", "typed", "quoted", "is_string", "_type", "is_function"}
 
 
-def construct(node):
-    """The name of a construct as a user knows it."""
-    words = {
+def construct_name(node):
+    """Return the name of a construct, as error messages give it."""
+    names = {
         "Subquery": "a subquery",
         "Window": "a window function",
         "With": "WITH",
@@ -33,8 +35,8 @@
         "Placeholder": "a placeholder",
     }
     name = type(node).__name__
-    if name in words:
-        return words[name]
+    if name in names:
+        return names[name]
     if isinstance(node, exp.Anonymous):
         return f"function {node.name.lower()}()"
     if isinstance(node, exp.Func):
@@ -43,20 +45,26 @@
 
 
 def check(node, *allowed):
-    """Refuses a node that has a property other than the allowed ones."""
+    """Raise 0A000 if a node has a property other than the allowed ones."""
     for key, value in node.args.items():
-        if key in allowed or key in HARMLESS or value is None or value is False or value == []:
+        if (
+            key in allowed
+            or key in IGNORED_PROPERTIES
+            or value is None
+            or value is False
+            or value == []
+        ):
             continue
         name = key.strip("_").upper()
         raise unsupported(
-            f"{name} of {construct(node)}"
+            f"{name} of {construct_name(node)}"
             if not isinstance(node, exp.Select)
             else f"{name} in a SELECT"
         )
 
 
-def parameter(node):
-    """The number of a bound parameter, from 1; None for another node."""
+def parameter_number(node):
+    """Return the number of a bound parameter, from 1, or None for any other node."""
     if (
         isinstance(node, exp.Parameter)
         and isinstance(node.this, exp.Literal)
@@ -67,65 +75,72 @@
 
 
 class Scope:
-    """The tables a statement names, by alias, and the types of its parameters as they become known."""
+    """The tables of a statement, by alias, and the types of its parameters as they are inferred."""
 
     def __init__(self, declared=()):
-        self.tables = {}  # alias -> Table, the first is the base
+        self.tables = {}  # alias -> Table; the first is the base table of the joins
         self.parameters = {n + 1: oid for n, oid in enumerate(declared) if oid}
-        self.most = len(declared)
+        self.parameter_count = len(declared)
 
     def column(self, node):
-        """(alias, table, column name) of a column; its name is folded as PostgreSQL does."""
-        name, alias = folded(node.this), node.args.get("table")
+        """Return (alias, table, column name) of a column, with its name folded as in PostgreSQL."""
+        name, alias = folded_name(node.this), node.args.get("table")
         if node.args.get("db") or node.args.get("catalog"):
             raise unsupported("a column named with its schema")
         if alias is not None:
-            alias = folded(alias)
+            alias = folded_name(alias)
             if alias not in self.tables:
                 raise SqlError("42P01", f'missing FROM-clause entry for table "{alias}"')
             found = [(alias, self.tables[alias])] if name in self.tables[alias].columns else []
         else:
             found = [(a, table) for a, table in self.tables.items() if name in table.columns]
         if not found:
-            shown = f"{alias}.{name}" if alias else f'"{name}"'
-            raise SqlError("42703", f"column {shown} does not exist")
-        if len(found) > 1 and name not in getattr(self, "merged", ()):
+            displayed = f"{alias}.{name}" if alias else f'"{name}"'
+            raise SqlError("42703", f"column {displayed} does not exist")
+        if len(found) > 1 and name not in getattr(self, "using_columns", ()):
             raise SqlError("42702", f'column reference "{name}" is ambiguous')
         return found[0][0], found[0][1], name
 
-    def saw(self, number, oid):
+    def add_parameter(self, number, oid):
+        """Record a use of a parameter; its first known type stays."""
         if not 1 <= number <= 65535:
             raise SqlError("42P02", f"there is no parameter ${number}")
-        self.most = max(self.most, number)
+        self.parameter_count = max(self.parameter_count, number)
         if oid and not self.parameters.get(number):
             self.parameters[number] = oid
 
     def oids(self):
-        return tuple(self.parameters.get(n, t.TEXT) for n in range(1, self.most + 1))
+        """Return the type OIDs of all parameters; text where no type is known."""
+        return tuple(self.parameters.get(n, t.TEXT) for n in range(1, self.parameter_count + 1))
 
 
-def folded(identifier):
-    """An identifier's name: folded to lower case unless quoted."""
+def folded_name(identifier):
+    """Return an identifier's name, folded to lower case unless it is quoted."""
     if isinstance(identifier, str):
         return identifier.lower()
     return identifier.name if identifier.args.get("quoted") else identifier.name.lower()
 
 
 class Typer:
-    """Gives the type OID of an expression, refusing what is not taken. With `aggregates`, those may
-    stand in it.
+    """Infers the type OIDs of expressions and rejects unsupported ones.
+
+    A method `on_...` handles the node class that its name ends with. Where `aggregates` is true,
+    the expression may contain aggregates.
     """
 
     def __init__(self, scope):
         self.scope = scope
 
     def type(self, node, want=None, aggregates=False):
-        """`want`: the type that its surroundings ask for, for parameters and bare strings."""
+        """Return the type OID of an expression.
+
+        `want` is the type that the context expects; parameters and untyped string literals take it.
+        """
         if node is None:
             raise SqlError("42601", "an expression is missing")
-        number = parameter(node)
+        number = parameter_number(node)
         if number is not None:
-            self.scope.saw(number, want)
+            self.scope.add_parameter(number, want)
             return self.scope.parameters.get(number, t.UNKNOWN)
         method = getattr(self, "on_" + type(node).__name__.lower(), None)
         if method is None:
@@ -133,7 +148,7 @@
                 (
                     handler
                     for kinds, handler in (
-                        (COMPARE, self.comparison),
+                        (COMPARISONS, self.comparison),
                         (ARITHMETIC, self.arithmetic),
                         (TEXT_FUNCTIONS, self.text_function),
                         (AGGREGATES, self.aggregate),
@@ -143,10 +158,10 @@
                 None,
             )
             if method is None:
-                raise unsupported(construct(node))
+                raise unsupported(construct_name(node))
         return method(node, want, aggregates)
 
-    # ---- leaves of the tree ----
+    # ---- columns and constants ----
 
     def on_column(self, node, want, aggregates):
         if isinstance(node.this, exp.Star):
@@ -184,18 +199,19 @@
 
     def on_not(self, node, want, aggregates):
         check(node, "this")
-        self.boolean(node.this, aggregates, "NOT")
+        self.require_boolean(node.this, aggregates, "NOT")
         return t.BOOL
 
     def on_and(self, node, want, aggregates):
         check(node, "this", "expression")
         for side in (node.this, node.expression):
-            self.boolean(side, aggregates, type(node).__name__.upper())
+            self.require_boolean(side, aggregates, type(node).__name__.upper())
         return t.BOOL
 
     on_or = on_and
 
-    def boolean(self, node, aggregates, what):
+    def require_boolean(self, node, aggregates, what):
+        """Raise 42804 unless an expression is boolean; `what` names its context."""
         oid = self.type(node, t.BOOL, aggregates)
         if oid not in (t.BOOL, t.UNKNOWN):
             raise SqlError(
@@ -203,9 +219,14 @@
                 f"argument of {what} must be type boolean, not type {t.NAMES.get(oid, oid)}",
             )
 
-    def pair(self, left, right, aggregates, what):
-        """The common type of two operands; a parameter or bare string takes the other's."""
-        if parameter(left) is not None and not self.scope.parameters.get(parameter(left)):
+    def operand_types(self, left, right, aggregates, what):
+        """Return the types of two operands and their common type.
+
+        An untyped parameter or string literal takes the type of the other operand.
+        """
+        if parameter_number(left) is not None and not self.scope.parameters.get(
+            parameter_number(left)
+        ):
             b = self.type(right, None, aggregates)
             a = self.type(left, b if b != t.UNKNOWN else t.TEXT, aggregates)
         else:
@@ -213,9 +234,10 @@
             b = self.type(right, a if a != t.UNKNOWN else t.TEXT, aggregates)
             if a == t.UNKNOWN and b != t.UNKNOWN:
                 a = self.type(left, b, aggregates)
-        return a, b, self.common(a, b, what)
+        return a, b, self.common_type(a, b, what)
 
-    def common(self, a, b, what):
+    def common_type(self, a, b, what):
+        """Return the type that two types convert to; `what` names the operator for errors."""
         if a == t.UNKNOWN or b == t.UNKNOWN or a == b:
             return b if a == t.UNKNOWN else a
         if a in NUMBERS and b in NUMBERS:
@@ -228,7 +250,7 @@
             "42883", f"operator does not exist: {t.NAMES.get(a, a)} {what} {t.NAMES.get(b, b)}"
         )
 
-    SIGNS = {
+    OPERATOR_NAMES = {
         exp.EQ: "=",
         exp.NEQ: "<>",
         exp.LT: "<",
@@ -244,20 +266,24 @@
 
     def comparison(self, node, want, aggregates):
         check(node, "this", "expression")
-        self.pair(
-            node.this, node.expression, aggregates, self.SIGNS.get(type(node), "IS DISTINCT FROM")
+        self.operand_types(
+            node.this,
+            node.expression,
+            aggregates,
+            self.OPERATOR_NAMES.get(type(node), "IS DISTINCT FROM"),
         )
         return t.BOOL
 
     def arithmetic(self, node, want, aggregates):
         check(node, "this", "expression")
-        sign = self.SIGNS[type(node)]
-        a, b, oid = self.pair(node.this, node.expression, aggregates, sign)
+        operator = self.OPERATOR_NAMES[type(node)]
+        a, b, oid = self.operand_types(node.this, node.expression, aggregates, operator)
         if isinstance(node, (exp.Add, exp.Sub)) and a == t.DATE and b in INTS:
             return t.DATE
         if oid not in NUMBERS:
             raise SqlError(
-                "42883", f"operator does not exist: {t.NAMES.get(a, a)} {sign} {t.NAMES.get(b, b)}"
+                "42883",
+                f"operator does not exist: {t.NAMES.get(a, a)} {operator} {t.NAMES.get(b, b)}",
             )
         return oid
 
@@ -270,7 +296,7 @@
     def on_between(self, node, want, aggregates):
         check(node, "this", "low", "high")
         for bound in (node.args["low"], node.args["high"]):
-            self.pair(node.this, bound, aggregates, "BETWEEN")
+            self.operand_types(node.this, bound, aggregates, "BETWEEN")
         return t.BOOL
 
     def on_in(self, node, want, aggregates):
@@ -278,13 +304,13 @@
             raise unsupported("a subquery")
         check(node, "this", "expressions")
         for item in node.expressions:
-            self.pair(node.this, item, aggregates, "=")
+            self.operand_types(node.this, item, aggregates, "=")
         return t.BOOL
 
     def on_is(self, node, want, aggregates):
         check(node, "this", "expression")
         if not isinstance(node.expression, (exp.Null, exp.Boolean)):
-            raise unsupported(construct(node))
+            raise unsupported(construct_name(node))
         self.type(
             node.this, t.BOOL if isinstance(node.expression, exp.Boolean) else None, aggregates
         )
@@ -310,27 +336,28 @@
         for branch in node.args["ifs"]:
             check(branch, "this", "true")
             if node.this is not None:
-                self.pair(node.this, branch.this, aggregates, "=")
+                self.operand_types(node.this, branch.this, aggregates, "=")
             else:
-                self.boolean(branch.this, aggregates, "CASE/WHEN")
-        return self.agreed(values, want, aggregates, "CASE")
+                self.require_boolean(branch.this, aggregates, "CASE/WHEN")
+        return self.result_type(values, want, aggregates, "CASE")
 
-    def agreed(self, values, want, aggregates, what):
+    def result_type(self, values, want, aggregates, what):
+        """Return the common type of the alternative values of CASE or COALESCE."""
         oid = t.UNKNOWN
         for value in values:
-            oid = self.common(oid, self.type(value, want, aggregates), what)
+            oid = self.common_type(oid, self.type(value, want, aggregates), what)
         for value in values:
-            if parameter(value) is not None:
+            if parameter_number(value) is not None:
                 self.type(value, oid if oid != t.UNKNOWN else t.TEXT, aggregates)
         return t.TEXT if oid == t.UNKNOWN else oid
 
     def on_coalesce(self, node, want, aggregates):
         check(node, "this", "expressions")
-        return self.agreed([node.this, *node.expressions], want, aggregates, "COALESCE")
+        return self.result_type([node.this, *node.expressions], want, aggregates, "COALESCE")
 
     def on_nullif(self, node, want, aggregates):
         check(node, "this", "expression")
-        a, _, _ = self.pair(node.this, node.expression, aggregates, "NULLIF")
+        a, _, _ = self.operand_types(node.this, node.expression, aggregates, "NULLIF")
         return t.TEXT if a == t.UNKNOWN else a
 
     def on_abs(self, node, want, aggregates):
@@ -369,8 +396,8 @@
     def on_filter(self, node, want, aggregates):
         check(node, "this", "expression")
         if not isinstance(node.this, AGGREGATES):
-            raise unsupported(construct(node))
-        self.boolean(node.expression.this, False, "FILTER")
+            raise unsupported(construct_name(node))
+        self.require_boolean(node.expression.this, False, "FILTER")
         return self.aggregate(node.this, want, aggregates)
 
     def aggregate(self, node, want, aggregates):
@@ -400,9 +427,12 @@
 
 
 def cast_type(node):
-    """The type OID that a CAST names; lengths and precisions are refused, as they change values."""
-    kind = node.args["to"]
-    name = kind.sql("postgres").lower()
+    """Return the type OID of a CAST.
+
+    A type with a length or precision is rejected, because it alters values.
+    """
+    target = node.args["to"]
+    name = target.sql("postgres").lower()
     if name not in TYPE_NAMES and name != "double precision":
         raise unsupported(f"a cast to {name}")
     return TYPE_NAMES.get(name, t.FLOAT8)
--- a/tests/test_sql_differential.py
+++ b/tests/test_sql_differential.py
@@ -14,7 +14,7 @@
 from mothnotch.merge.spool import Spool
 from mothnotch.pgwire import types as t
 from mothnotch.sql.errors import SqlError
-from mothnotch.sql.gather import gather, streamed
+from mothnotch.sql.gather import gather, gather_blocks
 from mothnotch.sql.plan import Planner
 from mothnotch.standins.store import Store, shown
 
@@ -61,7 +61,7 @@
         spools.append(Spool(room))
         for row in part:
             spools[-1].add(row, sum(len(v) for v in row if v is not None))
-    found = list(itertools.chain.from_iterable(streamed(plan, spools, parameters, room)))
+    found = list(itertools.chain.from_iterable(gather_blocks(plan, spools, parameters, room)))
     room.close()
     assert budget.memory.used == budget.disk.used == 0
     if g.limit is None and g.offset is None:
