--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -66,7 +66,7 @@
         """Reads ahead, so that a client that leaves is seen while its statement runs."""
         try:
             while True:
-                while self.wire.held > READ_AHEAD + self.wire.framer.limit:
+                while self.wire.buffered_bytes > READ_AHEAD + self.wire.framer.limit:
                     self.room = trio.Event()
                     await self.room.wait()
                 data = await self.stream.receive_some(1 << 16)
@@ -190,7 +190,7 @@
         if front.config.auth.method == "trust":
             self.out += b.AUTH_OK
         else:
-            self.out += b.sasl([auth.MECHANISM])
+            self.out += b.authentication_sasl([auth.MECHANISM])
             scram, done = auth.ScramServer(user, front.verifiers.get), False
             while not done:
                 await self.flush()
@@ -372,7 +372,7 @@
             if binary:
                 row = list(row)
                 for n in binary:
-                    row[n] = t.recode(plan.columns[n][1], row[n], True)
+                    row[n] = t.convert_format(plan.columns[n][1], row[n], True)
             self.out += b.data_row(row)
             if len(self.out) > CHUNK:
                 await self.flush()
--- a/mothnotch/pgwire/__init__.py
+++ b/mothnotch/pgwire/__init__.py
@@ -1,5 +1,5 @@
-"""PostgreSQL's frontend/backend protocol 3.0, both sides, without I/O.
+"""PostgreSQL's frontend/backend protocol 3.0, for the server and the client, without I/O.
 
-Source: PostgreSQL documentation, part VII, "Frontend/Backend Protocol" (message flow and formats).
-Bytes go in, events come out; what is to be sent is returned as bytes. No socket and no clock here.
+Received bytes are parsed into events; messages to send are returned as bytes. The package uses no
+sockets and no clock. Source: PostgreSQL documentation, part VII, "Frontend/Backend Protocol".
 """
--- a/mothnotch/pgwire/auth.py
+++ b/mothnotch/pgwire/auth.py
@@ -1,6 +1,4 @@
-"""SCRAM-SHA-256 at the server's and the client's side (RFC 5802, RFC 7677), by the `scramp`
-library.
-"""
+"""SCRAM-SHA-256 authentication for server and client (RFC 5802, RFC 7677), with `scramp`."""
 
 import re
 
@@ -10,15 +8,18 @@
 from mothnotch.pgwire.framing import ProtocolError
 
 MECHANISM = "SCRAM-SHA-256"
-NAMELESS = re.compile(r"^([^,]*,[^,]*,)n=,")
+EMPTY_USER_NAME = re.compile(r"^([^,]*,[^,]*,)n=,")
 
 
 class AuthenticationError(Exception):
-    """Wrong password, unknown user, or a broken exchange: the client is told 28P01 and no more."""
+    """The password is wrong, the user is unknown or the exchange is invalid.
+
+    The client receives SQLSTATE 28P01 in each case.
+    """
 
 
 def make_verifier(password, salt=None, iterations=4096):
-    """What is kept of a password: (salt, stored key, server key, iterations)."""
+    """Return what the server stores of a password: (salt, stored key, server key, iterations)."""
     return ScramMechanism(MECHANISM).make_auth_info(password, iteration_count=iterations, salt=salt)
 
 
@@ -29,34 +30,37 @@
     """
 
     def __init__(self, user, lookup):
-        found = lookup(user)
-        self.known = found is not None
-        # An unknown user goes through the same steps, so that time and messages do not tell who
-        # exists.
-        self.server = ScramMechanism(MECHANISM).make_server(
-            lambda _: found or make_verifier("\0unknown", b"0" * 16)
+        verifier = lookup(user)
+        self._is_known_user = verifier is not None
+        # The exchange with an unknown user takes the same steps, so that neither its timing nor its
+        # messages reveal which users exist.
+        self._server = ScramMechanism(MECHANISM).make_server(
+            lambda _: verifier or make_verifier("\0unknown", b"0" * 16)
         )
-        self.first = True
+        self._is_first_message = True
 
     def step(self, message):
-        """Takes one client message; gives (bytes to send, whether the exchange succeeded)."""
+        """Process a client message; return (bytes to send, whether authentication succeeded).
+
+        Raise AuthenticationError if it failed.
+        """
         try:
-            if self.first:
-                self.first = False
+            if self._is_first_message:
+                self._is_first_message = False
                 mechanism, text = message.sasl_initial()
                 if mechanism != MECHANISM:
                     raise AuthenticationError(f"mechanism {mechanism!r} was not offered")
-                self.server.set_client_first(NAMELESS.sub(r"\1n=startup,", text))
-                # libpq leaves the name empty, as the startup packet gave it, and the library takes
-                # no empty name: it reads another, and the exchange goes on over what was really
-                # said.
-                self.server.client_first_bare = text.split(",", 2)[2]
-                return b.sasl_continue(self.server.get_server_first()), False
-            self.server.set_client_final(message.text())
-            final = self.server.get_server_final()
-            if not self.known:
+                self._server.set_client_first(EMPTY_USER_NAME.sub(r"\1n=startup,", text))
+                # libpq sends an empty user name, because the startup packet already contains it,
+                # but scramp rejects empty names. It therefore parses a message with a placeholder
+                # name; the client's proof is then checked against the message that the client sent.
+                self._server.client_first_bare = text.split(",", 2)[2]
+                return b.authentication_sasl_continue(self._server.get_server_first()), False
+            self._server.set_client_final(message.text())
+            server_final = self._server.get_server_final()
+            if not self._is_known_user:
                 raise AuthenticationError("password authentication failed")
-            return b.sasl_final(final) + b.AUTH_OK, True
+            return b.authentication_sasl_final(server_final) + b.AUTH_OK, True
         except (ScramException, ValueError, KeyError, IndexError, TypeError) as error:
             if isinstance(error, ProtocolError):
                 raise
@@ -64,5 +68,5 @@
 
 
 def make_scram_client(user, password):
-    """The client's side, for connections to leaves."""
+    """Return the client side of an exchange, for a connection to a leaf."""
     return ScramClient([MECHANISM], user, password)
--- a/mothnotch/pgwire/backend.py
+++ b/mothnotch/pgwire/backend.py
@@ -1,4 +1,4 @@
-"""Messages that a server sends, as bytes, and their reading at the client's side.
+"""Messages that a server sends: encoding for the server and decoding for the client.
 
 Source: PostgreSQL documentation, "Message Formats" and "Error and Notice Message Fields".
 """
@@ -6,7 +6,7 @@
 import struct
 from dataclasses import dataclass, field
 
-from mothnotch.pgwire.framing import INT32, Reader, cstring, message, values
+from mothnotch.pgwire.framing import INT32, Reader, cstring, message, value_list
 
 AUTH_OK = message(b"R", INT32.pack(0))
 PARSE_COMPLETE, BIND_COMPLETE, CLOSE_COMPLETE = message(b"1"), message(b"2"), message(b"3")
@@ -16,8 +16,9 @@
 
 @dataclass(slots=True, frozen=True)
 class Column:
-    """A column of a result: its name, type OID, type length in bytes (-1: variable) and format (0
-    text, 1 binary).
+    """A column of a result.
+
+    `size`: the length of the type in bytes, -1 if it varies; `format`: 0 for text, 1 for binary.
     """
 
     name: str
@@ -28,7 +29,10 @@
 
 @dataclass(slots=True)
 class ErrorFields:
-    """What an ErrorResponse or NoticeResponse says."""
+    """The fields of an ErrorResponse or NoticeResponse.
+
+    `other_fields` maps the type bytes of further fields to their values.
+    """
 
     severity: str
     sqlstate: str
@@ -36,9 +40,9 @@
     detail: str = ""
     hint: str = ""
     position: str = ""
-    more: dict = field(default_factory=dict)
+    other_fields: dict = field(default_factory=dict)
 
-    KNOWN = {
+    ATTRIBUTE_NAMES = {
         "S": "severity",
         "C": "sqlstate",
         "M": "text",
@@ -55,22 +59,25 @@
 READY = {status: ready(status) for status in (b"I", b"T", b"E")}
 
 
-def sasl(mechanisms):
+def authentication_sasl(mechanisms):
     return message(b"R", INT32.pack(10), *(cstring(m) for m in mechanisms), b"\0")
 
 
-def sasl_continue(text):
+def authentication_sasl_continue(text):
     return message(b"R", INT32.pack(11), text.encode())
 
 
-def sasl_final(text):
+def authentication_sasl_final(text):
     return message(b"R", INT32.pack(12), text.encode())
 
 
-def negotiate(minor, unknown):
-    """NegotiateProtocolVersion: the newest minor version spoken, and the options not known."""
+def negotiate_protocol_version(minor, unknown_options):
+    """NegotiateProtocolVersion: the newest supported minor version and the unknown options."""
     return message(
-        b"v", INT32.pack(minor), INT32.pack(len(unknown)), *(cstring(name) for name in unknown)
+        b"v",
+        INT32.pack(minor),
+        INT32.pack(len(unknown_options)),
+        *(cstring(name) for name in unknown_options),
     )
 
 
@@ -94,46 +101,51 @@
 
 
 def data_row(items):
-    return message(b"D", values(items))
+    return message(b"D", value_list(items))
 
 
 def command_complete(tag):
     return message(b"C", cstring(tag))
 
 
-def _fields(kind, e):
+def _encode_fields(kind, e):
     pairs = [("S", e.severity), ("V", e.severity), ("C", e.sqlstate), ("M", e.text)]
     pairs += [(k, v) for k, v in (("D", e.detail), ("H", e.hint), ("P", e.position)) if v]
-    pairs += [(k, v) for k, v in e.more.items() if k not in ("S", "V", "C", "M", "D", "H", "P")]
+    pairs += [
+        (k, v) for k, v in e.other_fields.items() if k not in ("S", "V", "C", "M", "D", "H", "P")
+    ]
     return message(kind, *(k.encode() + cstring(v) for k, v in pairs), b"\0")
 
 
 def error(fields):
-    return _fields(b"E", fields)
+    return _encode_fields(b"E", fields)
 
 
 def notice(fields):
-    return _fields(b"N", fields)
+    return _encode_fields(b"N", fields)
 
 
-# ---- reading, at the client's side ----
+# ---- decoding, for the client ----
 
 
-def read_fields(body, what="ErrorResponse"):
-    r, found = Reader(body, what), {}
+def read_fields(body, message_name="ErrorResponse"):
+    """Decode the body of an ErrorResponse or NoticeResponse; missing fields get defaults."""
+    r, by_type = Reader(body, message_name), {}
     while True:
         kind = r.byte()
         if kind == b"\0":
             break
-        found[kind.decode("latin-1")] = r.string()
+        by_type[kind.decode("latin-1")] = r.string()
     r.end()
-    known = {
-        name: found.pop(letter) for letter, name in ErrorFields.KNOWN.items() if letter in found
+    attributes = {
+        name: by_type.pop(letter)
+        for letter, name in ErrorFields.ATTRIBUTE_NAMES.items()
+        if letter in by_type
     }
-    known.setdefault("severity", "ERROR")
-    known.setdefault("sqlstate", "XX000")
-    known.setdefault("text", "")
-    return ErrorFields(**known, more=found)
+    attributes.setdefault("severity", "ERROR")
+    attributes.setdefault("sqlstate", "XX000")
+    attributes.setdefault("text", "")
+    return ErrorFields(**attributes, other_fields=by_type)
 
 
 def read_row_description(body):
@@ -147,10 +159,13 @@
 
 
 def read_data_row(body):
-    """The values of one row, quickly: a root reads many."""
-    n, at, out, size = int.from_bytes(body[:2], "big"), 2, [], len(body)
+    """Return the values of a row.
+
+    Does not use Reader except for errors, because decoding rows is a hot path of the root.
+    """
+    count, at, out, size = int.from_bytes(body[:2], "big"), 2, [], len(body)
     unpack = INT32.unpack_from
-    for _ in range(n):
+    for _ in range(count):
         if at + 4 > size:
             Reader(body, "DataRow").take(size + 1)
         length = unpack(body, at)[0]
@@ -164,6 +179,6 @@
             at += length
     if at != size:
         r = Reader(body, "DataRow")
-        r.at = at
+        r.position = at
         r.end()
     return out
--- a/mothnotch/pgwire/client.py
+++ b/mothnotch/pgwire/client.py
@@ -1,4 +1,4 @@
-"""The client's side: what a root says to a leaf, and the reading of what the leaf says."""
+"""The client side: messages from the root to a leaf, and parsing of the leaf's messages."""
 
 import struct
 from dataclasses import dataclass
@@ -11,9 +11,9 @@
     ProtocolError,
     Reader,
     cstring,
+    int16_values,
     message,
-    shorts,
-    values,
+    value_list,
 )
 
 SYNC, FLUSH, TERMINATE = message(b"S"), message(b"H"), message(b"X")
@@ -43,14 +43,14 @@
     )
 
 
-def bind(portal, statement, formats, bound, result_formats):
+def bind(portal, statement, formats, parameters, result_formats):
     return message(
         b"B",
         cstring(portal),
         cstring(statement),
-        shorts(formats),
-        values(bound),
-        shorts(result_formats),
+        int16_values(formats),
+        value_list(parameters),
+        int16_values(result_formats),
     )
 
 
@@ -69,19 +69,23 @@
 EXECUTE = execute()
 
 
-def statement(sql, oids, bound):
-    """Parse, Bind and Execute of the unnamed statement with text parameters and text results; no
-    Sync. The result's columns are not asked for: who sends this knows them.
+def statement(sql, oids, parameters):
+    """Return Parse, Bind and Execute of the unnamed statement, without a Sync.
+
+    Parameters and results are in text format. There is no Describe, because the caller knows the
+    columns of the result.
     """
-    return parse("", sql, oids) + bind("", "", (), bound, ()) + EXECUTE
+    return parse("", sql, oids) + bind("", "", (), parameters, ()) + EXECUTE
+
 
+# ---- events ----
 
-# ---- what comes back; made by the thousand, so not frozen, which would cost a call a field ----
+# Not frozen: the root creates thousands of them, and a frozen dataclass needs a call per field.
 
 
 @dataclass(slots=True)
 class Authentication:
-    """0 is OK, 10 to 12 are SASL's steps."""
+    """An authentication request; code 0 is OK, 10 to 12 are the steps of SASL."""
 
     code: int
     rest: bytes
@@ -101,7 +105,7 @@
 @dataclass(slots=True)
 class DataRow:
     values: list
-    size: int  # bytes of the message
+    size: int  # bytes of the message body
 
 
 @dataclass(slots=True)
@@ -120,11 +124,13 @@
 
 
 class ClientConnection:
-    """The reading side of a connection to a server. Messages that say nothing to a root
-    (completions, notices, settings) are passed over; an unknown one is a ProtocolError.
+    """Parses what a server sends on a connection into events.
+
+    Messages that the root does not need (completions, notices, settings) are skipped; an unknown
+    message type raises ProtocolError.
     """
 
-    IGNORED_TYPES = frozenset(b"123nNSAsItv")  # type bytes
+    IGNORED_TYPES = frozenset(b"123nNSAsItv")  # message types
 
     def __init__(self, message_limit):
         self.framer = Framer(message_limit, startup=False)
@@ -133,27 +139,34 @@
         self.framer.feed(data)
 
     def next_event(self):
-        # The framer's work, done in place: a root reads five messages for each part, and three of
-        # them are quiet.
+        """Return the next event, or None if more bytes are needed."""
+        # Does the work of Framer.next inline: the root reads five messages for each part and skips
+        # three of them.
         framer = self.framer
-        buffer, at, limit, quiet = framer.buffer, framer.at, framer.limit, self.IGNORED_TYPES
+        buffer, at, limit, ignored_types = (
+            framer.buffer,
+            framer.position,
+            framer.limit,
+            self.IGNORED_TYPES,
+        )
         size = len(buffer)
         while size - at >= 5:
             length = INT32.unpack_from(buffer, at + 1)[0]
             if length < 4 or length > limit:
-                framer.at = at
-                framer.next()  # says what is wrong
+                framer.position = at
+                framer.next()  # raises the ProtocolError
             end = at + 1 + length
             if end > size:
                 break
             kind, start, at = buffer[at], at + 5, end
-            if kind not in quiet:
-                framer.at = at
+            if kind not in ignored_types:
+                framer.position = at
                 return self.read(kind, bytes(buffer[start:end]))
-        framer.at = at
+        framer.position = at
         return None
 
     def read(self, kind, body):
+        """Return the event of a message with the type byte `kind`."""
         if kind == 0x44:  # D
             return DataRow(b.read_data_row(body), len(body))
         if kind == 0x43:  # C
--- a/mothnotch/pgwire/server.py
+++ b/mothnotch/pgwire/server.py
@@ -1,7 +1,7 @@
-"""The server's side of one connection: bytes in, events out, and the rules of the message flow.
+"""The server side of a connection: parses bytes into events and enforces the message flow.
 
-`ServerConnection` knows startup, authentication, the skipping to Sync after an error in the
-extended protocol, and what may be sent when. What a statement means is its user's business.
+`ServerConnection` handles startup, the order of messages during and after authentication, and
+skipping to the next Sync after an error in the extended protocol. It does not interpret statements.
 """
 
 import struct
@@ -11,20 +11,20 @@
 from mothnotch.pgwire.framing import Framer, ProtocolError, Reader
 
 PROTOCOL_3, CANCEL, SSL, GSSENC = 196608, 80877102, 80877103, 80877104
-NEWEST_MINOR = 0
+NEWEST_MINOR_VERSION = 0
 MAX_PARAMETERS = 65535
 
 
 @dataclass(slots=True, frozen=True)
 class Startup:
-    """The client names its user, its database and its settings."""
+    """The startup packet: the user, the database and settings of the client."""
 
     parameters: dict
 
 
 @dataclass(slots=True, frozen=True)
 class EncryptionRequest:
-    """SSLRequest or GSSENCRequest: one byte is the answer."""
+    """SSLRequest or GSSENCRequest; the answer is a single byte."""
 
     what: str
 
@@ -37,19 +37,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Password:
-    """A `p` message: SASL or a password, which one depends on what was asked for."""
+    """A `p` message: a SASL response or a password, depending on the authentication request."""
 
     body: bytes
 
     def sasl_initial(self):
-        """(mechanism, first client message)."""
+        """Return (mechanism, first client message)."""
         r = Reader(self.body, "SASLInitialResponse")
         mechanism, first = r.string(), r.value()
         r.end()
-        return mechanism, _utf8(first or b"", "SASLInitialResponse")
+        return mechanism, _decode_utf8(first or b"", "SASLInitialResponse")
 
     def text(self):
-        return _utf8(self.body, "SASLResponse")
+        return _decode_utf8(self.body, "SASLResponse")
 
 
 @dataclass(slots=True, frozen=True)
@@ -68,15 +68,15 @@
 class Bind:
     portal: str
     statement: str
-    formats: tuple  # of the parameters: one for all, one each, or none (text)
+    formats: tuple  # of the parameters: one for all, one for each, or none (all text)
     values: tuple
     result_formats: tuple
 
     def format_of(self, n):
-        return _format(self.formats, n)
+        return _format_at(self.formats, n)
 
     def result_format_of(self, n):
-        return _format(self.result_formats, n)
+        return _format_at(self.result_formats, n)
 
 
 @dataclass(slots=True, frozen=True)
@@ -88,7 +88,7 @@
 @dataclass(slots=True, frozen=True)
 class Execute:
     portal: str
-    max_rows: int  # 0: all
+    max_rows: int  # 0: no limit
 
 
 @dataclass(slots=True, frozen=True)
@@ -114,7 +114,7 @@
 
 @dataclass(slots=True, frozen=True)
 class CopyData:
-    """CopyData, CopyDone or CopyFail; outside of a COPY they are ignored, as PostgreSQL does."""
+    """CopyData, CopyDone or CopyFail; ignored outside of a COPY, as in PostgreSQL."""
 
 
 @dataclass(slots=True, frozen=True)
@@ -125,23 +125,25 @@
 EXTENDED = (Parse, Bind, Describe, Execute, Close, Flush)
 
 
-def _utf8(raw, what):
+def _decode_utf8(raw, message_name):
     try:
         return raw.decode("utf-8")
     except UnicodeDecodeError as error:
-        raise ProtocolError(f"{what} is not UTF-8: {error.reason}", "22021") from None
+        raise ProtocolError(f"{message_name} is not UTF-8: {error.reason}", "22021") from None
 
 
-def _format(formats, n):
+def _format_at(formats, n):
     return 0 if not formats else formats[0] if len(formats) == 1 else formats[n]
 
 
-def _formats(r):
-    found = tuple(r.int16() for _ in range(r.count()))
-    for f in found:
+def _read_formats(r):
+    formats = tuple(r.int16() for _ in range(r.count()))
+    for f in formats:
         if f not in (0, 1):
-            raise ProtocolError(f"{r.what}: format code {f}; 0 (text) and 1 (binary) are known")
-    return found
+            raise ProtocolError(
+                f"{r.message_name}: format code {f}; 0 (text) and 1 (binary) are known"
+            )
+    return formats
 
 
 def _read_parse(r):
@@ -150,91 +152,98 @@
 
 
 def _read_bind(r):
-    portal, statement, formats = r.string(), r.string(), _formats(r)
-    bound = tuple(r.value() for _ in range(r.count()))
-    if len(formats) > 1 and len(formats) != len(bound):
-        raise ProtocolError(f"Bind: {len(formats)} format codes for {len(bound)} parameters")
-    return Bind(portal, statement, formats, bound, _formats(r))
+    portal, statement, formats = r.string(), r.string(), _read_formats(r)
+    parameters = tuple(r.value() for _ in range(r.count()))
+    if len(formats) > 1 and len(formats) != len(parameters):
+        raise ProtocolError(f"Bind: {len(formats)} format codes for {len(parameters)} parameters")
+    return Bind(portal, statement, formats, parameters, _read_formats(r))
 
 
-def _read_target(made):
+def _reading_target(event_type):
     def read(r):
         kind = r.byte()
         if kind not in (b"S", b"P"):
-            raise ProtocolError(f"{r.what}: kind {kind!r}; S (statement) and P (portal) are known")
-        return made(kind.decode(), r.string())
+            raise ProtocolError(
+                f"{r.message_name}: kind {kind!r}; S (statement) and P (portal) are known"
+            )
+        return event_type(kind.decode(), r.string())
 
     return read
 
 
-def _plain(made):
+def _ignoring_body(event_type):
     def read(r):
         r.rest()
-        return made()
+        return event_type()
 
     return read
 
 
-READERS = {
+MESSAGE_READERS = {
     b"Q": ("Query", lambda r: Query(r.string())),
     b"P": ("Parse", _read_parse),
     b"B": ("Bind", _read_bind),
-    b"D": ("Describe", _read_target(Describe)),
+    b"D": ("Describe", _reading_target(Describe)),
     b"E": ("Execute", lambda r: Execute(r.string(), r.int32())),
-    b"C": ("Close", _read_target(Close)),
+    b"C": ("Close", _reading_target(Close)),
     b"H": ("Flush", lambda r: Flush()),
     b"S": ("Sync", lambda r: Sync()),
     b"X": ("Terminate", lambda r: Terminate()),
     b"p": ("Password", lambda r: Password(r.rest())),
-    b"F": ("FunctionCall", _plain(FunctionCall)),
-    b"d": ("CopyData", _plain(CopyData)),
-    b"c": ("CopyDone", _plain(CopyData)),
-    b"f": ("CopyFail", _plain(CopyData)),
+    b"F": ("FunctionCall", _ignoring_body(FunctionCall)),
+    b"d": ("CopyData", _ignoring_body(CopyData)),
+    b"c": ("CopyDone", _ignoring_body(CopyData)),
+    b"f": ("CopyFail", _ignoring_body(CopyData)),
 }
 
 
 class ServerConnection:
-    """One client's connection. Feed bytes with `receive`, take events with `next_event` until it
-    gives None.
+    """The connection of a client.
+
+    Pass received bytes to `receive`, then call `next_event` until it returns None.
     """
 
     def __init__(self, message_limit):
         self.framer = Framer(message_limit, startup=True)
         self.state = "startup"  # startup, auth, ready, closed
-        self.skipping = (
-            False  # an error came up in the extended protocol: all until Sync is skipped
-        )
+        # True after an error in the extended protocol: messages are skipped until the next Sync.
+        self.skipping_to_sync = False
 
     def receive(self, data):
         self.framer.feed(data)
 
     @property
-    def held(self):
-        return self.framer.held
+    def buffered_bytes(self):
+        """Return how many received bytes have not been parsed."""
+        return self.framer.buffered_bytes
 
     def next_event(self):
-        """The next event; None when more bytes are needed. ProtocolError ends the connection."""
+        """Return the next event, or None if more bytes are needed.
+
+        Raise ProtocolError if the client violated the protocol; the connection must be closed then.
+        """
         while True:
-            found = self.framer.next()
-            if found is None:
+            message = self.framer.next()
+            if message is None:
                 return None
-            kind, body = found
+            kind, body = message
             if self.framer.startup:
                 return self._startup(body)
-            if kind not in READERS:
+            if kind not in MESSAGE_READERS:
                 raise ProtocolError(f"message type {kind!r} is not one a client sends")
-            name, read = READERS[kind]
+            name, read = MESSAGE_READERS[kind]
             if (kind == b"p") != (self.state == "auth") and kind != b"X":
                 raise ProtocolError(
-                    f"{name} came {'during' if self.state == 'auth' else 'outside of'} authentication"
+                    f"{name} came {'during' if self.state == 'auth' else 'outside of'} "
+                    "authentication"
                 )
-            if self.skipping and kind not in (b"S", b"X"):
+            if self.skipping_to_sync and kind not in (b"S", b"X"):
                 continue
             r = Reader(body, name)
             event = read(r)
             r.end()
             if type(event) is Sync:
-                self.skipping = False
+                self.skipping_to_sync = False
             elif type(event) is Terminate:
                 self.state = "closed"
             return event
@@ -247,9 +256,8 @@
             self.state = "closed"
             return event
         if code in (SSL, GSSENC):
-            if (
-                self.framer.held
-            ):  # guards against bytes smuggled in before the encryption was settled
+            # Guards against plaintext bytes that are injected before encryption is negotiated.
+            if self.framer.buffered_bytes:
                 raise ProtocolError(
                     "bytes came behind a request for encryption before it was answered"
                 )
@@ -269,28 +277,34 @@
             raise ProtocolError("startup packet names no user", "28000")
         parameters.setdefault("database", parameters["user"])
         self.framer.startup, self.state = False, "auth"
-        self.minor = code & 0xFFFF
+        self._minor_version = code & 0xFFFF
         return Startup(parameters)
 
     def negotiate_version(self, parameters):
-        """What to send first if the client asked for a newer minor version or options not known:
-        maybe b"".
+        """Return NegotiateProtocolVersion, or b"" if it is not needed.
+
+        It is needed if the client requested a newer minor version or unknown protocol options.
         """
-        unknown = [name for name in parameters if name.startswith("_pq_.")]
-        return b.negotiate(NEWEST_MINOR, unknown) if self.minor > NEWEST_MINOR or unknown else b""
+        unknown_options = [name for name in parameters if name.startswith("_pq_.")]
+        return (
+            b.negotiate_protocol_version(NEWEST_MINOR_VERSION, unknown_options)
+            if self._minor_version > NEWEST_MINOR_VERSION or unknown_options
+            else b""
+        )
 
     def on_authenticated(self):
-        """Authentication is over."""
+        """Accept statements from now on: authentication has succeeded."""
         self.state = "ready"
 
     def on_error_sent(self, extended):
-        """An error was sent: in the extended protocol all is skipped up to the next Sync."""
-        self.skipping = extended
+        """Skip messages up to the next Sync if an error was sent in the extended protocol."""
+        self.skipping_to_sync = extended
 
 
 def key_data_from_random(raw):
-    """(pid, secret) of eight random bytes; the pid stays positive, as drivers take it for a signed
-    number.
+    """Return (pid, secret) for BackendKeyData from eight random bytes.
+
+    The pid is not negative, because drivers read it as a signed integer.
     """
     pid, secret = struct.unpack("!II", raw)
     return pid & 0x7FFFFFFF, secret
--- a/mothnotch/pgwire/types.py
+++ b/mothnotch/pgwire/types.py
@@ -1,8 +1,8 @@
-"""Values of the common types: text and binary formats to and from Python.
+"""Conversion of values of the common types between Python and the text and binary formats.
 
-Source: PostgreSQL documentation, "Data Types", and the send/receive functions that drivers document
-for each type's binary format. Numerics are base-10000 digits; dates count days, timestamps
-microseconds, from 2000-01-01.
+Sources: PostgreSQL documentation, "Data Types", and drivers' descriptions of the binary formats,
+which the types' send and receive functions define. A numeric consists of base-10000 digits; a date
+is a number of days, a timestamp a number of microseconds since 2000-01-01.
 """
 
 import datetime as dt
@@ -33,6 +33,7 @@
     2950,
     2278,
 )
+# Type OID -> length in bytes of a value; types of variable length are not in it.
 SIZES = {
     BOOL: 1,
     INT8: 8,
@@ -69,6 +70,7 @@
     OID: "oid",
     VOID: "void",
 }
+# Type OID -> (minimum, maximum, struct format).
 INTS = {
     INT2: (-(2**15), 2**15 - 1, "!h"),
     INT4: (-(2**31), 2**31 - 1, "!i"),
@@ -77,7 +79,7 @@
 }
 TEXTS = frozenset((TEXT, VARCHAR, BPCHAR, NAME, UNKNOWN))
 EPOCH_DATE, EPOCH = dt.date(2000, 1, 1), dt.datetime(2000, 1, 1)
-WORDS = {
+BOOLEANS = {
     "t": True,
     "true": True,
     "yes": True,
@@ -94,22 +96,23 @@
 
 
 class InvalidValueError(Exception):
-    """A value that its type does not allow; `sqlstate` says how."""
+    """A value is invalid for its type; `sqlstate` tells in which way."""
 
     def __init__(self, text, sqlstate="22P02"):
         super().__init__(text)
         self.sqlstate = sqlstate
 
 
-def _bad(oid, shown):
+def _invalid_syntax(oid, text):
     return InvalidValueError(
-        f"invalid input syntax for type {NAMES.get(oid, oid)}: {str(shown)[:60]!r}"
+        f"invalid input syntax for type {NAMES.get(oid, oid)}: {str(text)[:60]!r}"
     )
 
 
 def from_text(oid, raw):
-    """The Python value of the text format: int, Decimal, float, bool, date, datetime, bytes, UUID
-    or str.
+    """Return the Python value of a value in text format.
+
+    It is an int, Decimal, float, bool, date, datetime, bytes, UUID or str.
     """
     text = raw.decode("utf-8") if isinstance(raw, (bytes, bytearray)) else raw
     try:
@@ -125,7 +128,7 @@
         if oid in (FLOAT4, FLOAT8):
             return float(text)
         if oid == BOOL:
-            return WORDS[text.strip().lower()]
+            return BOOLEANS[text.strip().lower()]
         if oid == DATE:
             return dt.date.fromisoformat(text)
         if oid == TIMESTAMP or oid == TIMESTAMPTZ:
@@ -135,12 +138,12 @@
         if oid == UUID:
             return uuid.UUID(text)
     except (ValueError, InvalidOperation, KeyError):
-        raise _bad(oid, text) from None
+        raise _invalid_syntax(oid, text) from None
     return text
 
 
 def to_text(oid, value):
-    """The text format, as bytes, of a Python value."""
+    """Return a Python value in text format, as bytes."""
     if value is True or value is False:
         return b"t" if value else b"f"
     if isinstance(value, float):
@@ -148,8 +151,8 @@
             return b"NaN"
         if value in (float("inf"), float("-inf")):
             return b"Infinity" if value > 0 else b"-Infinity"
-        shown = repr(value)
-        return (shown[:-2] if shown.endswith(".0") else shown).encode()
+        text = repr(value)
+        return (text[:-2] if text.endswith(".0") else text).encode()
     if isinstance(value, Decimal):
         return b"NaN" if value.is_nan() else format(value, "f").encode()
     if isinstance(value, bytes):
@@ -160,7 +163,7 @@
 
 
 def from_binary(oid, raw):
-    """The Python value of the binary format."""
+    """Return the Python value of a value in binary format."""
     try:
         if oid in INTS:
             if len(raw) != struct.calcsize(INTS[oid][2]):
@@ -181,7 +184,7 @@
                 tzinfo=dt.timezone.utc
             )
         if oid == NUMERIC:
-            return _numeric(raw)
+            return _numeric_from_binary(raw)
         if oid == BYTEA:
             return bytes(raw)
         if oid == UUID:
@@ -193,7 +196,7 @@
         ) from None
 
 
-def _numeric(raw):
+def _numeric_from_binary(raw):
     count, weight, sign, scale = struct.unpack("!hhHh", raw[:8])
     if sign == 0xC000:
         return Decimal("NaN")
@@ -205,17 +208,19 @@
     return -value if sign == 0x4000 else value
 
 
-def _numeric_binary(value):
+def _numeric_to_binary(value):
     if value.is_nan():
         return struct.pack("!hhHh", 0, 0, 0xC000, 0)
     sign, digits, exponent = value.as_tuple()
     scale = max(0, -exponent)
-    whole, _, part = format(abs(value), "f").partition(".")
-    whole = whole.lstrip("0")
-    whole = whole.rjust(-(-len(whole) // 4) * 4, "0")
-    part = part.ljust(-(-len(part) // 4) * 4, "0")
-    groups = [int((whole + part)[n : n + 4]) for n in range(0, len(whole + part), 4)]
-    weight = len(whole) // 4 - 1
+    integer_part, _, fraction = format(abs(value), "f").partition(".")
+    integer_part = integer_part.lstrip("0")
+    integer_part = integer_part.rjust(-(-len(integer_part) // 4) * 4, "0")
+    fraction = fraction.ljust(-(-len(fraction) // 4) * 4, "0")
+    groups = [
+        int((integer_part + fraction)[n : n + 4]) for n in range(0, len(integer_part + fraction), 4)
+    ]
+    weight = len(integer_part) // 4 - 1
     while groups and groups[0] == 0:
         groups, weight = groups[1:], weight - 1
     while groups and groups[-1] == 0:
@@ -231,7 +236,7 @@
 
 
 def to_binary(oid, value):
-    """The binary format of a Python value (as `from_text` gives it)."""
+    """Return a Python value, of a class that `from_text` returns, in binary format."""
     try:
         if oid in INTS:
             return struct.pack(INTS[oid][2], value)
@@ -251,7 +256,7 @@
                 "!q", (delta.days * 86400 + delta.seconds) * 1_000_000 + delta.microseconds
             )
         if oid == NUMERIC:
-            return _numeric_binary(Decimal(value))
+            return _numeric_to_binary(Decimal(value))
         if oid == BYTEA:
             return bytes(value)
         if oid == UUID:
@@ -263,6 +268,6 @@
     return str(value).encode("utf-8")
 
 
-def recode(oid, raw, binary):
-    """A value in text format, in the format asked for."""
+def convert_format(oid, raw, binary):
+    """Convert a value from text format to binary format if `binary`; None stays None."""
     return to_binary(oid, from_text(oid, raw)) if binary and raw is not None else raw
--- a/tests/test_pgwire.py
+++ b/tests/test_pgwire.py
@@ -1,5 +1,7 @@
-"""The codec: what it writes it reads, and whatever comes it neither breaks, hangs, nor holds more
-than its bounds.
+"""The PostgreSQL protocol codec: round trips, and robustness against arbitrary input.
+
+Arbitrary input must not raise an unexpected error, cause an endless loop or exceed the limit of
+buffered bytes.
 """
 
 import datetime as dt
@@ -14,20 +16,20 @@
 from mothnotch.pgwire.framing import Framer, ProtocolError, Reader
 
 LIMIT = 4096
-FAST = settings(max_examples=300, deadline=None, derandomize=True)
+PROPERTY_SETTINGS = settings(max_examples=300, deadline=None, derandomize=True)
 
 
-def drain(connection, most=10_000):
+def all_events(connection, limit=10_000):
     out = []
-    for _ in range(most):
+    for _ in range(limit):
         event = connection.next_event()
         if event is None:
             return out
         out.append(event)
-    raise AssertionError("does not come to an end")
+    raise AssertionError("events do not end")
 
 
-def started(**parameters):
+def authenticated_connection(**parameters):
     connection = server.ServerConnection(LIMIT)
     connection.receive(client.startup({"user": "a", **parameters}))
     assert type(connection.next_event()) is server.Startup
@@ -35,51 +37,51 @@
     return connection
 
 
-@FAST
+@PROPERTY_SETTINGS
 @given(st.lists(st.binary(max_size=300), max_size=8))
 def test_any_bytes_at_startup_are_an_event_or_a_protocol_error(chunks):
     connection = server.ServerConnection(LIMIT)
     try:
         for chunk in chunks:
             connection.receive(chunk)
-            drain(connection)
-            assert connection.held <= 10_000 + 300
+            all_events(connection)
+            assert connection.buffered_bytes <= 10_000 + 300
     except ProtocolError as error:
         assert len(error.sqlstate) == 5
 
 
-@FAST
+@PROPERTY_SETTINGS
 @given(
     st.lists(
         st.tuples(st.sampled_from(b"QPBDECHSXpFdcfZ\x00"), st.binary(max_size=60)), max_size=12
     )
 )
 def test_any_messages_after_startup_are_events_or_a_protocol_error(messages):
-    connection = started()
+    connection = authenticated_connection()
     try:
         for kind, body in messages:
             connection.receive(bytes([kind]) + struct.pack("!i", len(body) + 4) + body)
-            drain(connection)
+            all_events(connection)
     except ProtocolError as error:
         assert len(error.sqlstate) == 5
 
 
-@FAST
+@PROPERTY_SETTINGS
 @given(st.lists(st.tuples(st.sampled_from(b"TDCZEN12SKRAtx"), st.binary(max_size=80)), max_size=12))
-def test_any_messages_of_a_leaf_are_events_or_an_error_the_pool_knows(messages):
+def test_any_messages_of_a_leaf_are_events_or_an_error_that_the_pool_handles(messages):
     connection = client.ClientConnection(LIMIT)
     try:
         for kind, body in messages:
             connection.receive(bytes([kind]) + struct.pack("!i", len(body) + 4) + body)
-            drain(connection)
+            all_events(connection)
     except (ProtocolError, ValueError):
         pass
 
 
-@FAST
+@PROPERTY_SETTINGS
 @given(st.binary(max_size=400), st.data())
-def test_cutting_the_stream_differently_gives_the_same_events(tail, data):
-    whole = (
+def test_events_do_not_depend_on_how_the_stream_is_split(tail, data):
+    stream = (
         client.parse("s", "SELECT $1", (23,))
         + client.bind("p", "s", (1,), (b"\0\0\0\1", None), (0, 1))
         + client.execute("p", 7)
@@ -87,15 +89,15 @@
         + client.query("SELECT 1")
         + client.TERMINATE
     )
-    one, many = started(), started()
-    one.receive(whole)
-    expected, got, at = drain(one), [], 0
-    while at < len(whole):
+    unsplit, split = authenticated_connection(), authenticated_connection()
+    unsplit.receive(stream)
+    expected, events, at = all_events(unsplit), [], 0
+    while at < len(stream):
         n = data.draw(st.integers(1, 30))
-        many.receive(whole[at : at + n])
-        got += drain(many)
+        split.receive(stream[at : at + n])
+        events += all_events(split)
         at += n
-    assert got == expected and len(got) == 6
+    assert events == expected and len(events) == 6
 
 
 @pytest.mark.parametrize(
@@ -108,7 +110,7 @@
         (struct.pack("!iI", 8, server.SSL) + b"smuggled", "08P01"),
     ],
 )
-def test_bad_startups_are_refused_before_their_body_is_held(raw, sqlstate):
+def test_invalid_startups_are_rejected_before_their_body_is_buffered(raw, sqlstate):
     connection = server.ServerConnection(LIMIT)
     connection.receive(raw)
     with pytest.raises(ProtocolError) as caught:
@@ -116,16 +118,16 @@
     assert caught.value.sqlstate == sqlstate
 
 
-def test_oversized_message_is_refused_by_its_header():
-    connection = started()
+def test_oversized_message_is_rejected_by_its_header():
+    connection = authenticated_connection()
     connection.receive(b"Q" + struct.pack("!i", LIMIT + 5))
     with pytest.raises(ProtocolError, match="4096 are accepted") as caught:
         connection.next_event()
     assert caught.value.sqlstate == "54000"
 
 
-def test_after_an_error_all_is_skipped_up_to_sync():
-    connection = started()
+def test_after_an_error_messages_are_skipped_up_to_sync():
+    connection = authenticated_connection()
     connection.receive(
         client.parse("", "x")
         + client.bind("", "", (), (), ())
@@ -135,7 +137,7 @@
     )
     assert type(connection.next_event()) is server.Parse
     connection.on_error_sent(True)
-    assert [type(e) for e in drain(connection)] == [server.Sync, server.Query]
+    assert [type(e) for e in all_events(connection)] == [server.Sync, server.Query]
 
 
 def test_newer_minor_version_and_unknown_options_are_negotiated():
@@ -145,7 +147,7 @@
     event = connection.next_event()
     reply = connection.negotiate_version(event.parameters)
     assert reply[:1] == b"v" and b"_pq_.new" in reply
-    assert started().negotiate_version({"user": "a"}) == b""
+    assert authenticated_connection().negotiate_version({"user": "a"}) == b""
 
 
 VALUES = {
@@ -167,9 +169,9 @@
 }
 
 
-@FAST
+@PROPERTY_SETTINGS
 @given(st.data())
-def test_values_come_back_from_both_formats(data):
+def test_values_survive_a_round_trip_in_both_formats(data):
     oid = data.draw(st.sampled_from(sorted(VALUES)))
     value = data.draw(VALUES[oid])
     assert types.from_text(oid, types.to_text(oid, value)) == value
@@ -196,19 +198,19 @@
     assert types.from_binary(types.NUMERIC, types.to_binary(types.NUMERIC, value)) == value
 
 
-@FAST
+@PROPERTY_SETTINGS
 @given(st.sampled_from(sorted(VALUES)), st.binary(max_size=20))
-def test_bad_values_are_named(oid, raw):
-    for read in (types.from_binary, types.from_text):
+def test_invalid_values_have_an_sqlstate(oid, raw):
+    for parse in (types.from_binary, types.from_text):
         try:
-            read(oid, raw)
+            parse(oid, raw)
         except types.InvalidValueError as error:
             assert error.sqlstate in ("22P02", "22P03", "22003")
         except UnicodeDecodeError:
             pass
 
 
-def test_rows_and_descriptions_come_back():
+def test_rows_and_descriptions_survive_a_round_trip():
     row = [b"a", None, b"", b"x" * 300]
     assert backend.read_data_row(backend.data_row(row)[5:]) == row
     columns = [backend.Column("bin", types.INT4, 4, 1), backend.Column("item", types.TEXT)]
@@ -220,40 +222,44 @@
             backend.read_data_row(backend.data_row(row)[5 : 5 + cut])
 
 
-def scram(password, offered, user="a"):
-    """Whether an exchange lets a client with that password in, where `offered` is what is stored."""
-    exchange, ours = (
-        auth.ScramServer(user, {"a": auth.make_verifier(offered)}.get),
+def run_scram_exchange(password, stored_password, user="a"):
+    """Return whether `password` authenticates against a server that has `stored_password`."""
+    exchange, scram_client = (
+        auth.ScramServer(user, {"a": auth.make_verifier(stored_password)}.get),
         auth.make_scram_client(user, password),
     )
     reader = client.ClientConnection(LIMIT)
 
-    def sent(raw):
+    def password_message(raw):
         return server.Password(raw[5:])
 
-    reply, done = exchange.step(sent(client.sasl_initial(auth.MECHANISM, ours.get_client_first())))
+    reply, done = exchange.step(
+        password_message(client.sasl_initial(auth.MECHANISM, scram_client.get_client_first()))
+    )
     reader.receive(reply)
-    ours.set_server_first(reader.next_event().rest.decode())
-    reply, done = exchange.step(sent(client.sasl_response(ours.get_client_final())))
+    scram_client.set_server_first(reader.next_event().rest.decode())
+    reply, done = exchange.step(
+        password_message(client.sasl_response(scram_client.get_client_final()))
+    )
     reader.receive(reply)
-    ours.set_server_final(reader.next_event().rest.decode())
+    scram_client.set_server_final(reader.next_event().rest.decode())
     return done
 
 
-def test_scram_lets_in_who_knows_the_password_and_nobody_else():
-    assert scram("secret", "secret")
+def test_scram_accepts_only_the_right_password():
+    assert run_scram_exchange("secret", "secret")
     for password, user in (("wrong", "a"), ("secret", "nobody")):
         with pytest.raises(auth.AuthenticationError):
-            scram(password, "secret", user)
+            run_scram_exchange(password, "secret", user)
     with pytest.raises(auth.AuthenticationError):
         auth.ScramServer("a", {}.get).step(server.Password(client.sasl_initial("PLAIN", "x")[5:]))
 
 
-def test_framer_holds_no_more_than_it_was_fed():
+def test_framer_discards_returned_messages():
     framer = Framer(LIMIT, False)
     for _ in range(1000):
         framer.feed(client.SYNC)
-        assert framer.next() == (b"S", b"") and framer.held == 0
+        assert framer.next() == (b"S", b"") and framer.buffered_bytes == 0
     assert len(framer.buffer) <= 10
     with pytest.raises(ProtocolError):
         Reader(b"abc", "x").int32()
