--- a/tests/test_sql_differential.py
+++ b/tests/test_sql_differential.py
@@ -1,5 +1,6 @@
-"""Generated SQL over the shards gives what the same engine gives unsharded: ties, NULLs and empty
-ranges included.
+"""Generated SQL gives the same results over shards as in one unsharded database.
+
+The data includes ties, NULLs and empty ranges.
 """
 
 import itertools
@@ -21,7 +22,7 @@
 CONFIG = demo.config()
 SCHEMA = CONFIG.schema()
 STORE = Store(CONFIG.bounds(), seed=7, rows=12)
-WHOLE = STORE.whole()
+UNSHARDED_DATABASE = STORE.whole()
 PLANNER = Planner(SCHEMA)
 COLUMNS = {
     "stock": ["bin", "item", "lot", "best_before", "qty"],
@@ -29,9 +30,10 @@
 }
 
 
-def split(sql, parameters=()):
-    """What the root gives: (plan, rows in text format). A text that carries its values goes the way
-    of a simple query, its literals lifted.
+def sharded(sql, parameters=()):
+    """Return (plan, rows in text format) as the root computes them.
+
+    Without parameters the text is planned like a simple query: its literals become parameters.
     """
     plan, parameters = (PLANNER.plan(sql), parameters) if parameters else PLANNER.plan_text(sql)
     parts = []
@@ -52,8 +54,8 @@
 
 
 def check_streamed(plan, parts, parameters, rows):
-    """The same within next to no memory: the same rows, in an order that ORDER BY finds equal."""
-    g, budget = plan.gather, MemoryBudget(1 << 12, 1 << 24)
+    """Check that streaming in very little memory gives the same rows, in an equivalent order."""
+    spec, budget = plan.gather, MemoryBudget(1 << 12, 1 << 24)
     budget.open("q", 1.0)
     room = Room(budget, "q")
     spools = []
@@ -64,24 +66,28 @@
     found = list(itertools.chain.from_iterable(gather_blocks(plan, spools, parameters, room)))
     room.close()
     assert budget.memory.used == budget.disk.used == 0
-    if g.limit is None and g.offset is None:
+    if spec.limit is None and spec.offset is None:
         assert sorted(found, key=repr) == sorted(rows, key=repr)
     assert len(found) == len(rows)
-    for key in g.keys[:1]:
-        if key.column < g.width:
+    for key in spec.keys[:1]:
+        if key.column < spec.width:
             assert [row[key.column] for row in found] == [row[key.column] for row in rows]
 
 
 def unsharded(sql, parameters=()):
+    """Return the rows in text format as one database with all the data computes them."""
     text, booleans = STORE.read(sql)
     return [
         [shown(v, n < len(booleans) and booleans[n]) for n, v in enumerate(row)]
-        for row in WHOLE.execute(text, parameters)
+        for row in UNSHARDED_DATABASE.execute(text, parameters)
     ]
 
 
-def alike(ours, theirs, columns):
-    """Equal but for how a mean is written: SQLite's is a float."""
+def rows_equal(ours, theirs, columns):
+    """Return whether two rows are equal.
+
+    Numerics and floats may differ slightly, because SQLite computes means as floats.
+    """
     if len(ours) != len(theirs):
         return False
     for a, b, (_, oid) in zip(ours, theirs, columns, strict=True):
@@ -97,15 +103,15 @@
     return True
 
 
-class Maker:
-    """Statements of the kinds the root takes."""
+class StatementGenerator:
+    """Generates random SELECT statements of the kinds that the root supports."""
 
     def __init__(self, seed):
-        self.r = random.Random(seed)
+        self.rng = random.Random(seed)
 
     def number(self, table):
-        r = self.r
-        return r.choice(
+        rng = self.rng
+        return rng.choice(
             [
                 "qty",
                 "bin",
@@ -123,7 +129,7 @@
         )
 
     def text(self, table):
-        return self.r.choice(
+        return self.rng.choice(
             [
                 "item",
                 "item",
@@ -136,73 +142,74 @@
         )
 
     def scalar(self, table):
-        r = self.r
-        if r.random() < 0.15:
-            return f"CASE WHEN {self.condition(table)} THEN {self.number(table)} ELSE {r.randint(0, 9)} END"
-        if table == "stock" and r.random() < 0.15:
+        rng = self.rng
+        if rng.random() < 0.15:
+            return f"CASE WHEN {self.condition(table)} THEN {self.number(table)} ELSE {rng.randint(0, 9)} END"
+        if table == "stock" and rng.random() < 0.15:
             return "best_before"
-        return self.number(table) if r.random() < 0.55 else self.text(table)
+        return self.number(table) if rng.random() < 0.55 else self.text(table)
 
     def condition(self, table, depth=0):
-        r = self.r
-        if depth < 2 and r.random() < 0.3:
-            joined = r.choice([" AND ", " OR ", " AND "]).join(
+        rng = self.rng
+        if depth < 2 and rng.random() < 0.3:
+            joined = rng.choice([" AND ", " OR ", " AND "]).join(
                 self.condition(table, depth + 1) for _ in range(2)
             )
-            return f"NOT ({joined})" if r.random() < 0.2 else f"({joined})"
-        kind = r.randrange(10)
+            return f"NOT ({joined})" if rng.random() < 0.2 else f"({joined})"
+        kind = rng.randrange(10)
         n = self.number(table)
         if kind < 3:
-            low = r.randrange(-50, 2500)
-            return r.choice(
+            low = rng.randrange(-50, 2500)
+            return rng.choice(
                 [
                     f"bin = {low}",
                     f"bin < {low}",
                     f"bin >= {low}",
                     f"{low} > bin",
                     f"bin <= {low}",
-                    f"bin BETWEEN {low} AND {low + r.randrange(-20, 700)}",
+                    f"bin BETWEEN {low} AND {low + rng.randrange(-20, 700)}",
                     f"bin IN ({low}, {low + 300}, {low + 301})",
                     f"bin > {low}",
                 ]
             )
         if kind < 5:
-            return f"{n} {r.choice(['=', '<>', '<', '<=', '>', '>='])} {r.randrange(0, 120)}"
+            return f"{n} {rng.choice(['=', '<>', '<', '<=', '>', '>='])} {rng.randrange(0, 120)}"
         if kind == 5:
-            return f"{self.text(table)} {r.choice(['=', '<', '>'])} '{r.choice(['rice 2kg', 'pasta', 'M', 'a'])}'"
+            return f"{self.text(table)} {rng.choice(['=', '<', '>'])} '{rng.choice(['rice 2kg', 'pasta', 'M', 'a'])}'"
         if kind == 6:
-            return f"item {r.choice(['LIKE', 'NOT LIKE'])} '{r.choice(['%canned', 'p%', '%a_t%', '_i%'])}'"
+            return f"item {rng.choice(['LIKE', 'NOT LIKE'])} '{rng.choice(['%canned', 'p%', '%a_t%', '_i%'])}'"
         if kind == 7:
-            return f"{r.choice(COLUMNS[table])} IS {r.choice(['', 'NOT '])}NULL"
+            return f"{rng.choice(COLUMNS[table])} IS {rng.choice(['', 'NOT '])}NULL"
         if kind == 8:
-            return f"{n} BETWEEN {r.randrange(0, 60)} AND {r.randrange(30, 120)}"
-        return f"qty {r.choice(['', 'NOT '])}IN ({r.randrange(60)}, {r.randrange(60)}, NULL)"
+            return f"{n} BETWEEN {rng.randrange(0, 60)} AND {rng.randrange(30, 120)}"
+        return f"qty {rng.choice(['', 'NOT '])}IN ({rng.randrange(60)}, {rng.randrange(60)}, NULL)"
 
     def where(self, table):
-        return f" WHERE {self.condition(table)}" if self.r.random() < 0.7 else ""
+        return f" WHERE {self.condition(table)}" if self.rng.random() < 0.7 else ""
 
     def order(self, count):
-        r, keys = self.r, []
-        for n in r.sample(range(1, count + 1), r.randint(1, count)):
+        rng, keys = self.rng, []
+        for n in rng.sample(range(1, count + 1), rng.randint(1, count)):
             keys.append(
-                f"{n}{r.choice(['', ' ASC', ' DESC'])}{r.choice(['', '', ' NULLS FIRST', ' NULLS LAST'])}"
+                f"{n}{rng.choice(['', ' ASC', ' DESC'])}{rng.choice(['', '', ' NULLS FIRST', ' NULLS LAST'])}"
             )
         return keys
 
     def limit(self):
-        r = self.r
-        return (f" LIMIT {r.randint(0, 15)}" if r.random() < 0.7 else "") + (
-            f" OFFSET {r.randint(0, 9)}" if r.random() < 0.4 else ""
+        rng = self.rng
+        return (f" LIMIT {rng.randint(0, 15)}" if rng.random() < 0.7 else "") + (
+            f" OFFSET {rng.randint(0, 9)}" if rng.random() < 0.4 else ""
         )
 
     def plain(self):
-        """A SELECT without aggregates: ordered by all of its columns, if it has a LIMIT, so that
-        one answer is right.
+        """Return (SELECT without aggregates, whether it is ordered).
+
+        With a LIMIT, it is ordered by all of its columns, so that only one result is correct.
         """
-        r, table = self.r, self.r.choice(["stock", "orders"])
-        items = [self.scalar(table) for _ in range(r.randint(1, 4))]
-        sql = f"SELECT {r.choice(['', '', 'DISTINCT '])}{', '.join(items)} FROM {table}{self.where(table)}"
-        if r.random() < 0.6:
+        rng, table = self.rng, self.rng.choice(["stock", "orders"])
+        items = [self.scalar(table) for _ in range(rng.randint(1, 4))]
+        sql = f"SELECT {rng.choice(['', '', 'DISTINCT '])}{', '.join(items)} FROM {table}{self.where(table)}"
+        if rng.random() < 0.6:
             keys = self.order(len(items))
             rest = [
                 str(n)
@@ -213,8 +220,8 @@
         return sql, False
 
     def aggregate(self, table):
-        r = self.r
-        found = r.choice(
+        rng = self.rng
+        found = rng.choice(
             [
                 "count(*)",
                 f"count({self.scalar(table)})",
@@ -224,33 +231,36 @@
                 f"max({self.scalar(table)})",
             ]
         )
-        if r.random() < 0.2:
+        if rng.random() < 0.2:
             found += f" FILTER (WHERE {self.condition(table)})"
         return found
 
     def grouped(self):
-        r, table = self.r, self.r.choice(["stock", "orders"])
-        keys = [self.scalar(table) for _ in range(r.choice([0, 1, 1, 2]))]
-        items = keys + [self.aggregate(table) for _ in range(r.randint(1, 3))]
-        if r.random() < 0.3:
+        """Return (SELECT with aggregates, whether it is ordered)."""
+        rng, table = self.rng, self.rng.choice(["stock", "orders"])
+        keys = [self.scalar(table) for _ in range(rng.choice([0, 1, 1, 2]))]
+        items = keys + [self.aggregate(table) for _ in range(rng.randint(1, 3))]
+        if rng.random() < 0.3:
             items.append(f"count(*) + coalesce(sum({self.number(table)}), 0)")
         sql = f"SELECT {', '.join(items)} FROM {table}{self.where(table)}"
         if keys:
             sql += " GROUP BY " + ", ".join(
-                str(n + 1) if r.random() < 0.5 else key for n, key in enumerate(keys)
+                str(n + 1) if rng.random() < 0.5 else key for n, key in enumerate(keys)
             )
-        if r.random() < 0.4:
+        if rng.random() < 0.4:
             sql += (
-                f" HAVING {r.choice(['count(*)', 'sum(qty)', 'max(qty)', 'min(bin)'])} {r.choice(['>', '<=', '<>'])} "
-                f"{r.randrange(0, 40)}"
+                f" HAVING {rng.choice(['count(*)', 'sum(qty)', 'max(qty)', 'min(bin)'])} {rng.choice(['>', '<=', '<>'])} "
+                f"{rng.randrange(0, 40)}"
             )
-        if r.random() < 0.6:
-            # The groups' keys come last, so that the order is total; means are left out, they
-            # differ in writing.
-            sortable = [n + 1 for n, item in enumerate(items) if not item.startswith("avg")]
-            chosen = r.sample(sortable, r.randint(0, len(sortable)))
+        if rng.random() < 0.6:
+            # The group keys come last, so that the order is total. Means are left out, because
+            # those of SQLite are floats.
+            sortable_positions = [
+                n + 1 for n, item in enumerate(items) if not item.startswith("avg")
+            ]
+            chosen = rng.sample(sortable_positions, rng.randint(0, len(sortable_positions)))
             ordered = [
-                f"{n}{r.choice(['', ' DESC'])}{r.choice(['', ' NULLS FIRST', ' NULLS LAST'])}"
+                f"{n}{rng.choice(['', ' DESC'])}{rng.choice(['', ' NULLS FIRST', ' NULLS LAST'])}"
                 for n in chosen
             ]
             ordered += [str(n) for n in range(1, len(keys) + 1) if n not in chosen]
@@ -259,10 +269,11 @@
         return sql, False
 
     def joined(self):
-        r = self.r
-        kind = r.choice(["JOIN", "LEFT JOIN", "INNER JOIN"])
-        on = "s.bin = o.bin" + r.choice(["", " AND s.item = o.item", " AND o.qty > 10"])
-        where = r.choice(
+        """Return (SELECT over a join, whether it is ordered)."""
+        rng = self.rng
+        kind = rng.choice(["JOIN", "LEFT JOIN", "INNER JOIN"])
+        on = "s.bin = o.bin" + rng.choice(["", " AND s.item = o.item", " AND o.qty > 10"])
+        where = rng.choice(
             [
                 "",
                 " WHERE s.bin < 900",
@@ -271,38 +282,39 @@
                 " WHERE o.bin BETWEEN 100 AND 800",
             ]
         )
-        if r.random() < 0.5:
-            keys = r.choice(["s.item", "o.agency", "s.bin"])
+        if rng.random() < 0.5:
+            keys = rng.choice(["s.item", "o.agency", "s.bin"])
             return (
                 f"SELECT {keys}, count(*), sum(o.qty), max(s.qty) FROM stock s {kind} orders o ON {on}{where} "
-                f"GROUP BY {keys} ORDER BY 1 {r.choice(['', 'DESC'])}{self.limit()}"
+                f"GROUP BY {keys} ORDER BY 1 {rng.choice(['', 'DESC'])}{self.limit()}"
             ), True
         return (
             f"SELECT s.bin, s.item, o.order_id, o.qty FROM stock s {kind} orders o ON {on}{where}",
             False,
         )
 
-    def one(self):
-        return self.r.choice([self.plain, self.grouped, self.grouped, self.joined])()
+    def statement(self):
+        """Return (statement, whether it is ordered)."""
+        return self.rng.choice([self.plain, self.grouped, self.grouped, self.joined])()
 
 
 @pytest.mark.parametrize("block", range(8))
-def test_split_gives_what_one_engine_gives(block):
-    refused = 0
+def test_sharded_results_equal_unsharded_results(block):
+    rejected = 0
     for n in range(250):
-        sql, ordered = Maker(block * 100_000 + n).one()
+        sql, ordered = StatementGenerator(block * 100_000 + n).statement()
         try:
-            plan, ours = split(sql)
+            plan, ours = sharded(sql)
         except SqlError as error:
             assert error.sqlstate in ("0A000", "42883", "42P10", "42803", "42804"), (sql, error)
-            refused += 1
+            rejected += 1
             continue
         theirs = unsharded(sql)
         if not ordered:
             ours, theirs = sorted(ours, key=repr), sorted(theirs, key=repr)
             if any(oid in (t.NUMERIC, t.FLOAT8) for _, oid in plan.columns):
 
-                def place(row, plan=plan):
+                def sort_key(row, plan=plan):
                     return [
                         (
                             v is None,
@@ -315,17 +327,17 @@
                         for v, (_, oid) in zip(row, plan.columns, strict=True)
                     ]
 
-                ours, theirs = sorted(ours, key=place), sorted(theirs, key=place)
+                ours, theirs = sorted(ours, key=sort_key), sorted(theirs, key=sort_key)
         assert len(ours) == len(theirs), (sql, ours, theirs)
         for a, b in zip(ours, theirs, strict=True):
-            assert alike(a, b, plan.columns), (sql, a, b)
-    assert refused < 200
+            assert rows_equal(a, b, plan.columns), (sql, a, b)
+    assert rejected < 200
 
 
-def test_bound_parameters_prune_and_answer_alike():
-    r = random.Random(5)
+def test_bound_parameters_give_unsharded_results():
+    rng = random.Random(5)
     for _ in range(150):
-        low, high, least = r.randrange(-10, 2500), r.randrange(-10, 2500), r.randrange(120)
+        low, high, least = rng.randrange(-10, 2500), rng.randrange(-10, 2500), rng.randrange(120)
         for where, values in (
             ("bin = $1 AND qty > $2", (low, least)),
             ("bin BETWEEN $1 AND $2", (low, high)),
@@ -334,11 +346,11 @@
             ("bin >= $1 AND bin IN ($2, 7, 1000)", (low, high)),
         ):
             sql = f"SELECT bin, item, qty FROM stock WHERE {where} ORDER BY 1, 2, 3 LIMIT $3"
-            _, ours = split(sql, (*values, 10))
+            _, ours = sharded(sql, (*values, 10))
             assert ours == unsharded(sql, (*values, 10)), (sql, values)
 
 
-def test_texts_alike_but_for_their_values_share_a_plan():
+def test_texts_that_differ_only_in_values_share_a_plan():
     planner = Planner(SCHEMA)
     for n in range(50):
         plan, values = planner.plan_text(
@@ -347,9 +359,8 @@
         )
         assert plan.shards(SCHEMA, values) == [0] and f"it's {n}" in values
         assert plan.gather.limits(values) == (0, n + 5)
-    assert (
-        len(planner.cache) <= 3 and planner.misses <= 3
-    )  # 1 and 5 may be equal to another literal
+    # Equal literals share a parameter, as with n = 1 here, which gives another text and plan.
+    assert len(planner.cache) <= 3 and planner.misses <= 3
 
 
 @pytest.mark.parametrize(
@@ -364,16 +375,17 @@
         "SELECT 'a', 1.50 + qty FROM stock ORDER BY 2 LIMIT 2",
     ],
 )
-def test_lifting_changes_no_answer(sql):
+def test_parameterizing_literals_does_not_change_results(sql):
     plan = PLANNER.plan(sql)
-    lifted, values = PLANNER.plan_text(sql)
-    assert [oid for _, oid in lifted.columns] == [oid for _, oid in plan.columns]
-    assert [name for name, _ in lifted.columns] == [name for name, _ in plan.columns]
-    assert lifted.shards(SCHEMA, values) == plan.shards(SCHEMA, ()) or "-3" in sql
-    assert split(sql)[1] == gather_plain(sql)
+    parameterized, values = PLANNER.plan_text(sql)
+    assert [oid for _, oid in parameterized.columns] == [oid for _, oid in plan.columns]
+    assert [name for name, _ in parameterized.columns] == [name for name, _ in plan.columns]
+    assert parameterized.shards(SCHEMA, values) == plan.shards(SCHEMA, ()) or "-3" in sql
+    assert sharded(sql)[1] == sharded_with_literals(sql)
 
 
-def gather_plain(sql):
+def sharded_with_literals(sql):
+    """Return the rows as the root computes them without turning literals into parameters."""
     plan = PLANNER.plan(sql)
     parts = []
     for shard in plan.shards(SCHEMA, ()):
@@ -384,7 +396,7 @@
     return gather(plan, parts, ())
 
 
-def test_pruning_asks_few_ranges():
+def test_conditions_on_the_shard_column_limit_the_shards():
     assert PLANNER.plan("SELECT item FROM stock WHERE bin = 250").shards(SCHEMA, ()) == [2]
     assert PLANNER.plan("SELECT item FROM stock WHERE bin > 199 AND bin < 400").shards(
         SCHEMA, ()
@@ -425,7 +437,7 @@
         ("SELECT item FROM stock FETCH FIRST 3 ROWS WITH TIES", "WITH TIES"),
     ],
 )
-def test_what_is_not_known_to_stay_right_is_refused_by_name(sql, named):
+def test_unsupported_constructs_are_rejected_by_name(sql, named):
     with pytest.raises(SqlError) as caught:
         PLANNER.plan(sql)
     assert caught.value.sqlstate == "0A000"
@@ -452,7 +464,7 @@
         ("SELECT " + "(" * 3000 + "1" + ")" * 3000, "54001"),
     ],
 )
-def test_errors_are_those_that_postgresql_names(sql, sqlstate):
+def test_errors_have_the_sqlstates_of_postgresql(sql, sqlstate):
     with pytest.raises(SqlError) as caught:
         PLANNER.plan(sql)
     assert caught.value.sqlstate == sqlstate
