--- a/mothnotch/leaves/connection.py
+++ b/mothnotch/leaves/connection.py
@@ -14,7 +14,7 @@
 
 # Maximum bytes per read: processing more of a long answer at once would delay all other queries.
 _READ_BYTES = 1 << 14
-_OPENING_READ_BYTES = 1 << 16
+_STARTUP_READ_BYTES = 1 << 16
 # Codes of authentication requests in the PostgreSQL protocol.
 _SASL = 10
 _SASL_CONTINUE = 11
@@ -101,7 +101,7 @@
             event = self._wire.next_event()
             if event is not None:
                 return event
-            data = await self.stream.receive_some(_OPENING_READ_BYTES)
+            data = await self.stream.receive_some(_STARTUP_READ_BYTES)
             if not data:
                 raise EOFError("the leaf closed the connection")
             self._wire.receive(data)
