--- a/mothnotch/badday/__init__.py
+++ b/mothnotch/badday/__init__.py
@@ -1,1 +1,1 @@
-"""Bad days: a script of load and troubles, played through the real root, and judged by the auditor."""
+"""Scenarios of load and injected faults, played against the real root and checked by the audit."""
--- a/mothnotch/badday/catalogue.py
+++ b/mothnotch/badday/catalogue.py
@@ -1,5 +1,6 @@
-"""A day whose roster comes from a stand-in Consul: what the fleet does is said there, and the
-agents have troubles too.
+"""Scenarios whose roster comes from a stand-in for Consul, with faults of its agents.
+
+The stand-in's catalogue lists the leaves and their states.
 """
 
 import random
@@ -9,7 +10,8 @@
 from mothnotch.standins.consul import Catalogue, ConsulAgent, Faults
 
 SERVICE = "stock-leaf"
-MEANS = (
+# The ways in which a leaf is marked as departing, or taken out.
+DEPARTURE_METHODS = (
     "service maintenance",
     "node maintenance",
     "tag",
@@ -18,55 +20,58 @@
     "deregister",
     "deregister node",
 )
-GOSSIP_S = 0.3  # how soon the catalogue notices a leaf's process going or coming
+SERF_CHECK_INTERVAL_S = 0.3  # until the catalogue notices that a leaf's process ended or started
 
 
-class CatalogueNews:
-    """The catalogue of a day, its agents, and what is said of each leaf."""
+class ConsulStandIn:
+    """The catalogue of a scenario, its agents, and the registrations of the leaves."""
 
-    def __init__(self, day, script):
-        self.day, self.script, self.catalogue, self.answers = day, script, Catalogue(), []
+    def __init__(self, run, spec):
+        self.run, self.spec, self.catalogue, self.answers = run, spec, Catalogue(), []
         self.agents = [
             ConsulAgent(
-                self.catalogue, day.network, "127.0.0.1:0", f"agent-{n}", self.answers.append
+                self.catalogue, run.network, "127.0.0.1:0", f"agent-{n}", self.answers.append
             )
-            for n in range(script.agents)
+            for n in range(spec.agents)
         ]
-        self.how = {}  # leaf -> the means by which it is marked as departing
+        self.departure_methods = {}  # departing leaf -> one of DEPARTURE_METHODS
 
     async def start(self, nursery):
+        """Start the agents, and register the leaves."""
         nursery.start_soon(self.catalogue.run)
         for agent in self.agents:
             await nursery.start(agent.run)
-        self.tell()
-        nursery.start_soon(self.gossip)
+        self.update_registrations()
+        nursery.start_soon(self.update_serf_checks)
 
     def config(self):
+        """Return the `consul` section of a root's configuration."""
         return {
             "agents": [a.address for a in self.agents],
             "service": SERVICE,
-            "follow": self.script.follow,
-            "wait_s": self.script.wait_s,
+            "follow": self.spec.follow,
+            "wait_s": self.spec.wait_s,
             "hold_s": 60.0,
         }
 
-    def tell(self, *only):
-        """Says of each leaf what is so: registers it, marks it, or takes it out."""
-        for name, state in self.day.fleet.states.items():
+    def update_registrations(self, *only):
+        """Register, mark or deregister these leaves, by default all, as their states require."""
+        for name, state in self.run.fleet.states.items():
             if only and name not in only:
                 continue
-            how = (
-                self.how.get(name) or {"up": "", "draining": "meta", "removed": "deregister"}[state]
+            method = (
+                self.departure_methods.get(name)
+                or {"up": "", "draining": "meta", "removed": "deregister"}[state]
             )
-            node, leaf = "node-" + name.split("-")[1], self.day.fleet.leaves[name]
-            if how == "deregister":
+            node, leaf = "node-" + name.split("-")[1], self.run.fleet.leaves[name]
+            if method == "deregister":
                 self.catalogue.deregister(node, name)
                 continue
-            if how == "deregister node":
+            if method == "deregister node":
                 self.catalogue.deregister_node(node)
                 continue
             host, _, port = leaf.settings.address.rpartition(":")
-            cell = list(self.day.fleet.leaves).index(name) % self.day.config.cells
+            cell = list(self.run.fleet.leaves).index(name) % self.run.config.cells
             meta = {
                 "cell": str(cell),
                 "zone": leaf.settings.zone,
@@ -79,18 +84,20 @@
                 name,
                 "",
                 int(port),
-                ("draining",) if how == "tag" else (),
-                {**meta, "state": "draining"} if how == "meta" else meta,
-                {"Passing": 0, "Warning": 0} if how == "weight" else {"Passing": 1, "Warning": 1},
+                ("draining",) if method == "tag" else (),
+                {**meta, "state": "draining"} if method == "meta" else meta,
+                {"Passing": 0, "Warning": 0}
+                if method == "weight"
+                else {"Passing": 1, "Warning": 1},
             )
-            self.catalogue.maintenance(node, how == "service maintenance", name)
-            self.catalogue.maintenance(node, how == "node maintenance")
+            self.catalogue.maintenance(node, method == "service maintenance", name)
+            self.catalogue.maintenance(node, method == "node maintenance")
 
-    async def gossip(self):
-        """The node's own check follows its process, a little late."""
+    async def update_serf_checks(self):
+        """Set the check of each node to the state of its leaf's process, with some delay."""
         while True:
-            await trio.sleep(GOSSIP_S)
-            for name, leaf in self.day.fleet.leaves.items():
+            await trio.sleep(SERF_CHECK_INTERVAL_S)
+            for name, leaf in self.run.fleet.leaves.items():
                 node = "node-" + name.split("-")[1]
                 if node in self.catalogue.nodes:
                     self.catalogue.set_check(
@@ -98,96 +105,100 @@
                     )
 
 
-class CatalogueTroubles:
-    """Troubles of a day's catalogue, mixed into the Day; `t.leaves` counts agents here, where it is
-    no list.
+class CatalogueFaults:
+    """Mixin of ScenarioRun with the faults of the catalogue.
+
+    In a fault of agents, `leaves` is the number of agents concerned. The names of the `do_` methods
+    are the kinds of faults.
     """
 
-    def some(self, t):
-        agents = self.news.agents
-        return random.Random(f"{self.seed} {t.kind} {t.at}").sample(
-            agents, min(len(agents), t.leaves)
+    def chosen_agents(self, fault):
+        """Return the agents that a fault concerns, chosen at random from the seed."""
+        agents = self.consul.agents
+        return random.Random(f"{self.seed} {fault.kind} {fault.at}").sample(
+            agents, min(len(agents), fault.leaves)
         )
 
-    async def agents_during(self, t, **changes):
-        agents = self.some(t)
+    async def set_agent_faults(self, fault, **changes):
+        """Set these faults of the chosen agents while the fault lasts."""
+        agents = self.chosen_agents(fault)
         for agent in agents:
             for name, value in changes.items():
                 setattr(agent.faults, name, value)
-        await trio.sleep(t.lasts)
+        await trio.sleep(fault.lasts)
         for agent in agents:
             for name in changes:
                 setattr(agent.faults, name, getattr(Faults(), name))
 
-    async def do_consul_slow(self, t, names):
-        await self.agents_during(t, delay_s=t.factor / 10)
+    async def do_consul_slow(self, fault, names):
+        await self.set_agent_faults(fault, delay_s=fault.factor / 10)
 
-    async def do_consul_silent(self, t, names):
-        await self.agents_during(t, silent=True)
+    async def do_consul_silent(self, fault, names):
+        await self.set_agent_faults(fault, silent=True)
 
-    async def do_consul_errors(self, t, names):
-        await self.agents_during(t, status=500 if t.share > 0.7 else 429)
+    async def do_consul_errors(self, fault, names):
+        await self.set_agent_faults(fault, status=500 if fault.share > 0.7 else 429)
 
-    async def do_consul_garbage(self, t, names):
+    async def do_consul_garbage(self, fault, names):
         kinds = ("json", "cut", "deep", "headers")
-        await self.agents_during(t, garbage=kinds[int(t.factor) % len(kinds)])
+        await self.set_agent_faults(fault, garbage=kinds[int(fault.factor) % len(kinds)])
 
-    async def do_consul_hidden(self, t, names):
-        await self.agents_during(t, filtered=True)
+    async def do_consul_hidden(self, fault, names):
+        await self.set_agent_faults(fault, filtered=True)
 
-    async def do_consul_lag(self, t, names):
-        agents = self.some(t)
+    async def do_consul_lag(self, fault, names):
+        agents = self.chosen_agents(fault)
         for agent in agents:
             agent.set_lag(True)
-        await trio.sleep(t.lasts)
+        await trio.sleep(fault.lasts)
         for agent in agents:
             agent.set_lag(False)
 
-    async def do_consul_crash(self, t, names):
-        agents = self.some(t)
+    async def do_consul_crash(self, fault, names):
+        agents = self.chosen_agents(fault)
         for agent in agents:
             agent.stop()
-        await trio.sleep(t.lasts)
+        await trio.sleep(fault.lasts)
         for agent in agents:
             while agent.up:
                 await trio.sleep(0.01)
-            await self.life.start(agent.run)
+            await self.background.start(agent.run)
 
-    async def do_consul_wipe(self, t, names):
-        """The servers lose their state; the leaves' own agents bring theirs back one by one."""
-        self.news.catalogue.wipe()
+    async def do_consul_wipe(self, fault, names):
+        """The servers lose their state; the leaves are then registered again, one after another."""
+        self.consul.catalogue.wipe()
         names = sorted(self.fleet.leaves)
         random.Random(f"{self.seed} wipe").shuffle(names)
         for name in names:
-            await trio.sleep(t.lasts / len(names))
-            self.news.tell(name)
+            await trio.sleep(fault.lasts / len(names))
+            self.consul.update_registrations(name)
 
-    async def do_health_flapping(self, t, names):
-        """A check of each leaf goes critical and back `factor` times a second; the leaf itself is
-        sound.
+    async def do_health_flapping(self, fault, names):
+        """A check of each leaf turns critical and back `factor` times a second; the leaf itself is
+        healthy.
         """
-        end, on = trio.current_time() + t.lasts, False
+        end, is_critical = trio.current_time() + fault.lasts, False
         while trio.current_time() < end:
-            on = not on
+            is_critical = not is_critical
             for name in names:
                 node = "node-" + name.split("-")[1]
-                if (node, name) in self.news.catalogue.services:
-                    self.news.catalogue.set_check(
-                        node, "disk", "critical" if on else "passing", service_id=name
+                if (node, name) in self.consul.catalogue.services:
+                    self.consul.catalogue.set_check(
+                        node, "disk", "critical" if is_critical else "passing", service_id=name
                     )
-            await trio.sleep(0.5 / t.factor)
+            await trio.sleep(0.5 / fault.factor)
         for name in names:
-            self.news.catalogue.remove_check("node-" + name.split("-")[1], "disk")
+            self.consul.catalogue.remove_check("node-" + name.split("-")[1], "disk")
 
-    async def do_depart(self, t, names):
-        """Leaves are marked as departing, or taken out, by whatever means; they run on, and come
-        back.
+    async def do_depart(self, fault, names):
+        """Leaves are marked as departing, or taken out, by a random method; they keep running, and
+        return.
         """
-        means = random.Random(f"{self.seed} {t.at} means").choice(MEANS)
+        method = random.Random(f"{self.seed} {fault.at} means").choice(DEPARTURE_METHODS)
         for name in names:
-            self.news.how[name] = means
-        self.news.tell(*names)
-        await trio.sleep(t.lasts)
+            self.consul.departure_methods[name] = method
+        self.consul.update_registrations(*names)
+        await trio.sleep(fault.lasts)
         for name in names:
-            self.news.how.pop(name, None)
-        self.news.tell(*names)
+            self.consul.departure_methods.pop(name, None)
+        self.consul.update_registrations(*names)
--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -1,9 +1,8 @@
-"""Plays a script: leaves, roots, clients and troubles, over sockets or in memory on a virtual
-clock.
+"""Plays a scenario with leaves, roots, clients and faults, over sockets or in memory.
 
-Over sockets the roots are processes of their own (`mothnotch serve`), and everything is judged from
-this side of their sockets. In memory the same program runs on trio's MockClock: the same seed gives
-the same transcript.
+Over sockets, each root is a process (`mothnotch serve`), and the rules are checked on what is
+observed outside these processes. In memory, the same code runs on trio's MockClock, a virtual clock
+on which the same seed gives the same transcript.
 """
 
 import json
@@ -21,7 +20,7 @@
 from mothnotch.audit import defects
 from mothnotch.audit.catalogue_updates import updates_from_catalogue
 from mothnotch.audit.rules import DayRecord, QueryRecord
-from mothnotch.badday.catalogue import CatalogueNews, CatalogueTroubles
+from mothnotch.badday.catalogue import CatalogueFaults, ConsulStandIn
 from mothnotch.daemon import Root
 from mothnotch.net.memory import MemoryNetwork
 from mothnotch.root.endpoint_file import InMemoryEndpointFile
@@ -31,31 +30,33 @@
 LOOKUP = "SELECT count(*), coalesce(sum(qty), 0) FROM orders WHERE bin >= $1::int AND bin < $2::int AND order_id <> $3"
 SEARCH = "SELECT count(*), coalesce(sum(qty), 0) FROM stock WHERE item <> $1"
 HOLD = "INSERT INTO holds (bin, order_id, item, qty) VALUES ($1::int, $2, 'rice', 1)"
-MISSING = re.compile(r"bin ranges missing: (.*)$")
-END_S = 3.0  # after the last ask: what is under way ends, late sends show
+MISSING_RANGES = re.compile(r"bin ranges missing: (.*)$")
+# Wait after the last query, in which open queries end and late sends become visible.
+SETTLE_S = 3.0
 
 
-def configuration(script, me, roster, consul=None):
-    """A root's configuration for the day, as plain JSON; its list comes from a roster file or from
-    Consul.
+def root_config(scenario, me, roster, consul=None):
+    """Return a root's configuration as plain JSON.
+
+    The endpoint list comes from the roster file or, if `consul` is given, from Consul.
     """
-    load = script.load
-    classes = {name: dict(figures) for name, figures in demo.CONFIG["classes"].items()}
-    for figures in classes.values():
-        figures["deadline_ms"] = load.timeout_ms
-        figures["aim_ms"] = load.timeout_ms / 2
+    load = scenario.load
+    classes = {name: dict(request_class) for name, request_class in demo.CONFIG["classes"].items()}
+    for request_class in classes.values():
+        request_class["deadline_ms"] = load.timeout_ms
+        request_class["aim_ms"] = load.timeout_ms / 2
     rules = {
-        "cold_from": script.leaves.cold_from,
-        "cold_s": script.leaves.cold_s,
-        "fall_multiple": script.leaves.fall_multiple,
-        "fall_s": script.leaves.fall_s,
-        "drain_grace_ms": script.drain_grace_ms,
+        "cold_from": scenario.leaves.cold_from,
+        "cold_s": scenario.leaves.cold_s,
+        "fall_multiple": scenario.leaves.fall_multiple,
+        "fall_s": scenario.leaves.fall_s,
+        "drain_grace_ms": scenario.drain_grace_ms,
     }
-    if script.budget_share is not None:
+    if scenario.budget_share is not None:
         rules |= {
-            "budget_share": script.budget_share,
-            "budget_free": script.budget_free,
-            "budget_window_s": script.budget_window_s,
+            "budget_share": scenario.budget_share,
+            "budget_free": scenario.budget_free,
+            "budget_window_s": scenario.budget_window_s,
         }
     source = {"roster": roster} if consul is None else {"roster": None, "consul": consul}
     return {
@@ -64,344 +65,364 @@
         "classes": classes,
         "rules": rules,
         "seed": 100 + me,
-        "root": {"roots": script.roots, "me": me, "zone": demo.ZONES[me % 2]},
+        "root": {"roots": scenario.roots, "me": me, "zone": demo.ZONES[me % 2]},
         "log": {"format": "json", "level": "warning"},
         "leaves": {"connect_timeout_ms": 300.0},
     }
 
 
-class Day(CatalogueTroubles):
-    """One day under way."""
+class ScenarioRun(CatalogueFaults):
+    """One run of a scenario. The names of the `do_` methods are the kinds of faults."""
 
-    def __init__(self, script, seed, network, slack_s):
-        self.script, self.seed, self.network = script, seed, network
+    def __init__(self, scenario, seed, network, slack_s):
+        self.scenario, self.seed, self.network = scenario, seed, network
         self.random = random.Random(f"day {seed}")
-        self.record = DayRecord(drain_grace_s=script.drain_grace_ms / 1000, slack_s=slack_s)
+        self.record = DayRecord(drain_grace_s=scenario.drain_grace_ms / 1000, slack_s=slack_s)
         self.config = demo.config(
-            **{k: v for k, v in configuration(script, 0, "roster.json5").items()}
+            **{k: v for k, v in root_config(scenario, 0, "roster.json5").items()}
         )
-        c = self.config
-        for name, kind in c.classes.items():
+        config = self.config
+        for name, request_class in config.classes.items():
             self.record.min_answer_weights[name], self.record.latency_objectives_s[name] = (
-                kind.floor,
-                kind.aim_ms / 1000,
+                request_class.floor,
+                request_class.aim_ms / 1000,
             )
-            self.record.priority_weights[name] = kind.worth
-            if kind.repeat_window_ms:
-                self.record.repeat_windows_s[name] = kind.repeat_window_ms / 1000
-        self.record.rules = c.settings().rules
-        s = script.leaves
+            self.record.priority_weights[name] = request_class.worth
+            if request_class.repeat_window_ms:
+                self.record.repeat_windows_s[name] = request_class.repeat_window_ms / 1000
+        self.record.rules = config.settings().rules
+        leaves = scenario.leaves
         self.store, self.leaves = demo.create_leaves(
             network,
             self.record.leaf_events.append,
             seed=seed,
-            rows=script.rows,
-            cores=s.cores,
-            work_ms=s.work_ms,
-            cold_from=s.cold_from,
-            cold_s=s.cold_s,
-            fall_multiple=s.fall_multiple,
-            fall_s=s.fall_s,
-            count=s.count,
+            rows=scenario.rows,
+            cores=leaves.cores,
+            work_ms=leaves.work_ms,
+            cold_from=leaves.cold_from,
+            cold_s=leaves.cold_s,
+            fall_multiple=leaves.fall_multiple,
+            fall_s=leaves.fall_s,
+            count=leaves.count,
+        )
+        self.schema = config.schema()
+        self.load_factor, self.retry_probability, self.is_key_hot, self.is_discovery_stale = (
+            1.0,
+            scenario.load.retry,
+            False,
+            False,
         )
-        self.schema = c.schema()
-        self.load, self.retry, self.hot, self.stale = 1.0, script.load.retry, False, False
-        self.idle, self.open, self.numbers = {}, 0, 0
-        self.rosters, self.addresses = [], []
-        self.news = CatalogueNews(self, script.consul) if script.consul is not None else None
+        self.idle_clients, self.open_query_count, self.query_count = {}, 0, 0
+        self.roster_writers, self.root_addresses = [], []
+        self.consul = ConsulStandIn(self, scenario.consul) if scenario.consul is not None else None
 
     # ---- roster ----
 
-    def tell(self):
-        """Writes the roster to every root, unless discovery is stale."""
-        if self.news is not None:
-            self.news.tell()
+    def publish_roster(self):
+        """Write the roster for every root, unless discovery is stale."""
+        if self.consul is not None:
+            self.consul.update_registrations()
             return
-        if self.stale:
+        if self.is_discovery_stale:
             return
         now = trio.current_time()
         for name, state in self.fleet.states.items():
-            if not self.told or self.told.get(name) != state:
+            if not self.published_states or self.published_states.get(name) != state:
                 self.record.endpoint_updates.append((now, name, state, None))
-                self.told[name] = state
+                self.published_states[name] = state
         text = demo.roster_text(self.fleet)
-        if self.script.news_late_s and trio.current_time() > 0:
-            self.life.start_soon(self.tell_late, text)
+        if self.scenario.news_late_s and trio.current_time() > 0:
+            self.background.start_soon(self.publish_roster_late, text)
             return
-        for write in self.rosters:
+        for write in self.roster_writers:
             write(text)
 
-    async def tell_late(self, text):
-        await trio.sleep(self.script.news_late_s)
-        for write in self.rosters:
+    async def publish_roster_late(self, text):
+        """Write the roster for every root after the delay of the scenario."""
+        await trio.sleep(self.scenario.news_late_s)
+        for write in self.roster_writers:
             write(text)
 
-    # ---- troubles ----
+    # ---- faults ----
 
-    async def trouble(self, t):
-        await trio.sleep(t.at)
-        await getattr(self, "do_" + t.kind)(t, self.chosen(t))
+    async def inject(self, fault):
+        """Carry out a fault at its time."""
+        await trio.sleep(fault.at)
+        await getattr(self, "do_" + fault.kind)(fault, self.chosen_leaves(fault))
 
-    def chosen(self, t):
+    def chosen_leaves(self, fault):
+        """Return the names of the leaves that a fault concerns, chosen at random from the seed."""
         names = sorted(self.fleet.leaves)
-        if isinstance(t.leaves, list):
-            return [n for n in t.leaves if n in self.fleet.leaves]
-        return random.Random(f"{self.seed} {t.kind} {t.at}").sample(
-            names, min(len(names), t.leaves)
+        if isinstance(fault.leaves, list):
+            return [n for n in fault.leaves if n in self.fleet.leaves]
+        return random.Random(f"{self.seed} {fault.kind} {fault.at}").sample(
+            names, min(len(names), fault.leaves)
         )
 
-    def each(self, names):
+    def leaves_named(self, names):
+        """Return the leaves with these names."""
         return [self.fleet.leaves[n] for n in names]
 
-    async def during(self, t, names, **changes):
-        for leaf in self.each(names):
+    async def set_leaf_faults(self, fault, names, **changes):
+        """Set these faults of the leaves while the fault lasts."""
+        for leaf in self.leaves_named(names):
             for key, value in changes.items():
                 setattr(leaf.faults, key, value)
-        await trio.sleep(t.lasts)
-        sound = LeafFaults()
-        for leaf in self.each(names):
+        await trio.sleep(fault.lasts)
+        healthy = LeafFaults()
+        for leaf in self.leaves_named(names):
             for key in changes:
-                setattr(leaf.faults, key, getattr(sound, key))
+                setattr(leaf.faults, key, getattr(healthy, key))
 
-    async def do_hang(self, t, names):
-        await self.during(t, names, hang=True)
+    async def do_hang(self, fault, names):
+        await self.set_leaf_faults(fault, names, hang=True)
 
-    async def do_slow(self, t, names):
-        await self.during(t, names, slow=t.factor)
+    async def do_slow(self, fault, names):
+        await self.set_leaf_faults(fault, names, slow=fault.factor)
 
-    async def do_shared_slow(self, t, names):
-        await self.during(t, list(self.fleet.leaves), slow=min(t.factor, 2.0))
+    async def do_shared_slow(self, fault, names):
+        await self.set_leaf_faults(fault, list(self.fleet.leaves), slow=min(fault.factor, 2.0))
 
-    async def do_fast_errors(self, t, names):
-        await self.during(t, names, errors=t.share)
+    async def do_fast_errors(self, fault, names):
+        await self.set_leaf_faults(fault, names, errors=fault.share)
 
-    async def do_lost_answers(self, t, names):
-        """Commits are done and their word is lost: what the keys are for."""
-        await self.during(t, names, lose=t.share)
+    async def do_lost_answers(self, fault, names):
+        """Commits take effect, but their replies are lost; idempotency keys make a retry safe."""
+        await self.set_leaf_faults(fault, names, lose=fault.share)
 
-    async def do_idle_reap(self, t, names):
-        await self.during(t, names, idle_reap_s=0.2, silent_reap=t.share > 0.9)
+    async def do_idle_reap(self, fault, names):
+        await self.set_leaf_faults(fault, names, idle_reap_s=0.2, silent_reap=fault.share > 0.9)
 
-    async def do_pauses(self, t, names):
-        end = trio.current_time() + t.lasts
+    async def do_pauses(self, fault, names):
+        end = trio.current_time() + fault.lasts
         while trio.current_time() < end:
-            for leaf in self.each(names):
+            for leaf in self.leaves_named(names):
                 leaf.faults.pause_until = trio.current_time() + 0.25
             await trio.sleep(0.8)
 
-    async def do_crash(self, t, names):
-        for leaf in self.each(names):
+    async def do_crash(self, fault, names):
+        for leaf in self.leaves_named(names):
             leaf.stop()
-        await trio.sleep(t.lasts)
+        await trio.sleep(fault.lasts)
         for name in names:
             await self.fleet.restart(name)
-        self.tell()
+        self.publish_roster()
 
-    async def do_vanish(self, t, names):
-        """Silent to all: connections stay open and say nothing, new ones get no answer; then it
-        comes back cold.
-        """
-        for leaf in self.each(names):
+    async def do_vanish(self, fault, names):
+        """Open connections to the leaves stall and new ones are not answered, until they restart."""
+        for leaf in self.leaves_named(names):
             leaf.faults.hang = True
             if isinstance(self.network, MemoryNetwork):
                 self.network.unreachable_addresses.add(leaf.settings.address)
-        await trio.sleep(t.lasts)
-        for name, leaf in zip(names, self.each(names), strict=True):
+        await trio.sleep(fault.lasts)
+        for name, leaf in zip(names, self.leaves_named(names), strict=True):
             if isinstance(self.network, MemoryNetwork):
                 self.network.unreachable_addresses.discard(leaf.settings.address)
             leaf.stop()
             while leaf.up:
                 await trio.sleep(0.01)
             await self.fleet.restart(name)
-        self.tell()
+        self.publish_roster()
 
-    async def do_flapping(self, t, names):
-        end = trio.current_time() + t.lasts
+    async def do_flapping(self, fault, names):
+        end = trio.current_time() + fault.lasts
         while trio.current_time() < end:
-            for leaf in self.each(names):
+            for leaf in self.leaves_named(names):
                 leaf.stop()
             await trio.sleep(0.3)
             for name in names:
                 await self.fleet.restart(name)
-            self.tell()
+            self.publish_roster()
             await trio.sleep(0.7)
 
-    async def do_deploy(self, t, names):
-        """Each by turns: told draining, gone, restarted cold, told up."""
+    async def do_deploy(self, fault, names):
+        """One leaf after another is drained, removed, restarted cold and listed as up."""
         for name in names:
             self.fleet.states[name] = "draining"
-            self.tell()
+            self.publish_roster()
             await trio.sleep(0.6)
             self.fleet.leaves[name].stop()
             while self.fleet.leaves[name].up:
                 await trio.sleep(0.01)
             self.fleet.states[name] = "removed"
-            self.tell()
-            await trio.sleep(max(0.2, t.lasts / max(1, len(names)) - 0.6))
+            self.publish_roster()
+            await trio.sleep(max(0.2, fault.lasts / max(1, len(names)) - 0.6))
             await self.fleet.restart(name)
             self.fleet.states[name] = "up"
-            self.tell()
+            self.publish_roster()
 
-    async def do_replace(self, t, names):
-        """Machines go without a word, and others take their place at new addresses: only the list
-        tells which.
+    async def do_replace(self, fault, names):
+        """Machines disappear without notice, and others replace them at new addresses, which are
+        known only from the roster.
         """
-        for leaf in self.each(names):
+        for leaf in self.leaves_named(names):
             leaf.faults.hang = True
             if isinstance(self.network, MemoryNetwork):
                 self.network.unreachable_addresses.add(leaf.settings.address)
         await trio.sleep(0.2)
-        for name, leaf in zip(names, self.each(names), strict=True):
+        for name, leaf in zip(names, self.leaves_named(names), strict=True):
             leaf.stop()
             while leaf.up:
                 await trio.sleep(0.01)
             leaf.settings.address = "127.0.0.1:0"
             await self.fleet.restart(name)
-        self.tell()
+        self.publish_roster()
 
-    async def do_burst(self, t, names):
-        self.load *= t.factor
-        await trio.sleep(t.lasts)
-        self.load /= t.factor
+    async def do_burst(self, fault, names):
+        self.load_factor *= fault.factor
+        await trio.sleep(fault.lasts)
+        self.load_factor /= fault.factor
 
-    async def do_discovery_stale(self, t, names):
-        if self.news is not None:
-            await self.do_consul_lag(t, names)
+    async def do_discovery_stale(self, fault, names):
+        if self.consul is not None:
+            await self.do_consul_lag(fault, names)
             return
-        self.stale = True
-        await trio.sleep(t.lasts)
-        self.stale = False
-        self.tell()
-
-    async def do_retry_abuse(self, t, names):
-        self.retry = 1.0
-        await trio.sleep(t.lasts)
-        self.retry = self.script.load.retry
-
-    async def do_hot_key(self, t, names):
-        self.hot = True
-        await trio.sleep(t.lasts)
-        self.hot = False
-
-    async def do_poison(self, t, names):
-        """Statements with a poisoned value end the process that begins them; it comes back cold."""
+        self.is_discovery_stale = True
+        await trio.sleep(fault.lasts)
+        self.is_discovery_stale = False
+        self.publish_roster()
+
+    async def do_retry_abuse(self, fault, names):
+        self.retry_probability = 1.0
+        await trio.sleep(fault.lasts)
+        self.retry_probability = self.scenario.load.retry
+
+    async def do_hot_key(self, fault, names):
+        self.is_key_hot = True
+        await trio.sleep(fault.lasts)
+        self.is_key_hot = False
+
+    async def do_poison(self, fault, names):
+        """Statements with a poisoned value crash the leaf that runs them; it restarts cold."""
         for leaf in self.fleet.leaves.values():
             leaf.faults.poison = "id:poison"
-        end = trio.current_time() + t.lasts
+        end = trio.current_time() + fault.lasts
         while trio.current_time() < end:
-            self.nursery.start_soon(self.ask, "order-lookup", "poison-")
+            self.query_nursery.start_soon(self.send_query, "order-lookup", "poison-")
             await trio.sleep(0.5)
             for name, leaf in self.fleet.leaves.items():
                 if not leaf.up and not leaf.overload_crashed and leaf.poison_crashed:
                     leaf.poison_crashed = False
                     await self.fleet.restart(name)
                     leaf.faults.poison = "id:poison"
-            self.tell()
+            self.publish_roster()
         for leaf in self.fleet.leaves.values():
             leaf.faults.poison = ""
 
     # ---- clients ----
 
-    async def clients(self):
-        """Open loop: asks come by their own clock, however the answers fare."""
-        end = trio.current_time() + self.script.seconds
-        names, weights = zip(*sorted(self.script.load.mix.items()), strict=True)
+    async def run_clients(self):
+        """Start queries at random times, independent of the answers (open loop)."""
+        end = trio.current_time() + self.scenario.seconds
+        names, weights = zip(*sorted(self.scenario.load.mix.items()), strict=True)
         while True:
-            await trio.sleep(self.random.expovariate(self.script.load.rate * self.load))
+            await trio.sleep(self.random.expovariate(self.scenario.load.rate * self.load_factor))
             if trio.current_time() >= end:
                 return
-            if self.open < self.script.load.clients:
-                self.nursery.start_soon(self.ask, self.random.choices(names, weights)[0])
+            if self.open_query_count < self.scenario.load.clients:
+                self.query_nursery.start_soon(
+                    self.send_query, self.random.choices(names, weights)[0]
+                )
 
-    async def ask(self, kind, mark="", tries=0):
-        r, self.open = self.random, self.open + 1
+    async def send_query(self, class_name, id_prefix="", attempt=0):
+        """Send a query of a class to a root and record it; possibly retry if it is refused."""
+        rng, self.open_query_count = self.random, self.open_query_count + 1
         try:
-            root = self.pick()
-            self.numbers += 1
-            ask = QueryRecord(
-                f"id:{mark}{self.numbers}",
+            root = self.pick_root()
+            self.query_count += 1
+            query = QueryRecord(
+                f"id:{id_prefix}{self.query_count}",
                 root,
-                kind,
-                kind == "hold-set",
+                class_name,
+                class_name == "hold-set",
                 0.0,
-                self.script.load.timeout_ms / 1000,
+                self.scenario.load.timeout_ms / 1000,
             )
-            client = await self.client(root, kind)
+            client = await self.acquire_client(root, class_name)
             if client is None:
                 return
-            await self.run(ask, client)
+            await self.run_query(query, client)
         finally:
-            self.open -= 1
-        if ask.outcome == "refused" and tries < 3 and r.random() < self.retry:
-            await self.ask(kind, mark, tries + 1)
+            self.open_query_count -= 1
+        if query.outcome == "refused" and attempt < 3 and rng.random() < self.retry_probability:
+            await self.send_query(class_name, id_prefix, attempt + 1)
 
-    def pick(self):
-        """The root that a client turns to."""
-        return self.random.randrange(self.script.roots)
+    def pick_root(self):
+        """Return the root to which a client sends its next query."""
+        return self.random.randrange(self.scenario.roots)
 
-    async def client(self, root, kind):
-        """A connection for that class at that root: an idle one, or a new one."""
-        idle = self.idle.setdefault((root, kind), [])
+    async def acquire_client(self, root, class_name):
+        """Return an idle or a new connection to the root for queries of the class, or None."""
+        idle = self.idle_clients.setdefault((root, class_name), [])
         if idle:
             return idle.pop()
-        client = Client(self.network, self.addresses[root])
+        client = Client(self.network, self.root_addresses[root])
         try:
             with trio.fail_after(5):
                 await client.connect()
-                if kind == "stock-search":
+                if class_name == "stock-search":
                     await client.query("SET mothnotch.class = 'stock-search'")
         except (ConnectionLostError, OSError, trio.TooSlowError):
             client.close()
             return None
         return client
 
-    def prepare(self, ask):
-        """(statement, values) of an ask; fills in what it needs and what each range alone would
-        give.
+    def prepare_statement(self, query):
+        """Return (statement, values) of a query.
+
+        Set the ranges that the query needs, and the values that each of them alone yields.
         """
-        r = self.random
-        if ask.class_name == "stock-search":
-            ask.shards = tuple(range(self.schema.shards))
-            ask.expected = {
-                s: self.alone(s, "SELECT count(*), coalesce(sum(qty), 0) FROM stock")
-                for s in ask.shards
+        rng = self.random
+        if query.class_name == "stock-search":
+            query.shards = tuple(range(self.schema.shards))
+            query.expected = {
+                s: self.range_values(s, "SELECT count(*), coalesce(sum(qty), 0) FROM stock")
+                for s in query.shards
             }
-            return SEARCH, (ask.id,)
-        if ask.class_name == "hold-set":
-            bin = 7 if self.hot else r.randrange(demo.BIN_COUNT)
-            ask.shards = (self.schema.shard_of(bin),)
-            return HOLD, (bin, ask.id)
-        first = 0 if self.hot else r.randrange(self.schema.shards - 3)
-        count = r.randint(1, 4)
-        ask.shards = tuple(range(first, min(self.schema.shards, first + count)))
-        ask.expected = {
-            s: self.alone(s, "SELECT count(*), coalesce(sum(qty), 0) FROM orders")
-            for s in ask.shards
+            return SEARCH, (query.id,)
+        if query.class_name == "hold-set":
+            bin = 7 if self.is_key_hot else rng.randrange(demo.BIN_COUNT)
+            query.shards = (self.schema.shard_of(bin),)
+            return HOLD, (bin, query.id)
+        first = 0 if self.is_key_hot else rng.randrange(self.schema.shards - 3)
+        count = rng.randint(1, 4)
+        query.shards = tuple(range(first, min(self.schema.shards, first + count)))
+        query.expected = {
+            s: self.range_values(s, "SELECT count(*), coalesce(sum(qty), 0) FROM orders")
+            for s in query.shards
         }
-        return LOOKUP, (self.schema.range(first)[0], self.schema.range(ask.shards[-1])[1], ask.id)
+        return LOOKUP, (
+            self.schema.range(first)[0],
+            self.schema.range(query.shards[-1])[1],
+            query.id,
+        )
 
-    def alone(self, shard, sql):
+    def range_values(self, shard, sql):
+        """Return the result of a statement on one range alone."""
         return tuple(self.store.ranges[shard].execute(sql).fetchone())
 
-    async def run(self, ask, client):
-        r, load = self.random, self.script.load
-        sql, values = self.prepare(ask)
-        leaves, cancels = r.random() < load.leave, r.random() < load.cancel
-        patience, block = r.uniform(0.002, 0.05), ask.is_write and r.random() < load.transactions
-        ask.started_at = trio.current_time()
-        self.record.queries.append(ask)
+    async def run_query(self, query, client):
+        """Run a query on a connection, and record its outcome."""
+        rng, load = self.random, self.scenario.load
+        sql, values = self.prepare_statement(query)
+        will_leave, will_cancel = rng.random() < load.leave, rng.random() < load.cancel
+        delay_s, in_transaction = (
+            rng.uniform(0.002, 0.05),
+            query.is_write and rng.random() < load.transactions,
+        )
+        query.started_at = trio.current_time()
+        self.record.queries.append(query)
         try:
-            with trio.move_on_after(patience if leaves else ask.timeout_s + 5) as scope:
+            with trio.move_on_after(delay_s if will_leave else query.timeout_s + 5) as scope:
                 async with trio.open_nursery() as nursery:
-                    if cancels and not leaves:
-                        nursery.start_soon(self.cancel_later, client, patience)
-                    if block:
+                    if will_cancel and not will_leave:
+                        nursery.start_soon(self.cancel_after, client, delay_s)
+                    if in_transaction:
                         await client.query("BEGIN")
                         reply = await client.query(sql, *values)
                         if reply.error is None:
-                            ask.started_at = (
-                                trio.current_time()
-                            )  # the client's time runs from the COMMIT
+                            # The client's timeout counts from the COMMIT.
+                            query.started_at = trio.current_time()
                             reply = await client.query("COMMIT")
                         else:
                             await client.query("ROLLBACK")
@@ -409,107 +430,112 @@
                         reply = await client.query(sql, *values)
                     nursery.cancel_scope.cancel()
         except* (ConnectionLostError, OSError):
-            ask.outcome = "lost"
-        ask.ended_at = trio.current_time()
-        if ask.outcome == "lost":
+            query.outcome = "lost"
+        query.ended_at = trio.current_time()
+        if query.outcome == "lost":
             client.close()
             return
         if scope.cancelled_caught:
-            ask.outcome = "gone" if leaves else ""
+            query.outcome = "gone" if will_leave else ""
             client.close()
             return
-        self.take(ask, reply)
-        ask.surplus_bytes = await client.surplus_bytes(0.03)
-        if ask.surplus_bytes:
+        self.record_reply(query, reply)
+        query.surplus_bytes = await client.surplus_bytes(0.03)
+        if query.surplus_bytes:
             client.close()
         else:
-            self.idle.setdefault((ask.root, ask.class_name), []).append(client)
+            self.idle_clients.setdefault((query.root, query.class_name), []).append(client)
 
-    async def cancel_later(self, client, seconds):
+    async def cancel_after(self, client, seconds):
+        """Send a cancel request for the client's query after a delay."""
         await trio.sleep(seconds)
         try:
             await client.cancel()
         except OSError:
             pass
 
-    def take(self, ask, reply):
-        """What a reply says, by the documented table of SQLSTATEs."""
-        ask.reply_count = len(reply.tags) + (reply.error is not None)
+    def record_reply(self, query, reply):
+        """Record the outcome that a reply states, by the documented table of SQLSTATEs."""
+        query.reply_count = len(reply.tags) + (reply.error is not None)
         if reply.error is not None:
-            ask.sqlstate = reply.error.sqlstate
-            ask.outcome = "refused" if ask.sqlstate == "53000" else "failed"
+            query.sqlstate = reply.error.sqlstate
+            query.outcome = "refused" if query.sqlstate == "53000" else "failed"
             return
-        ask.outcome = "answered"
-        if not ask.is_write:
-            ask.value = tuple(int(v) for v in reply.rows[0])
+        query.outcome = "answered"
+        if not query.is_write:
+            query.value = tuple(int(v) for v in reply.rows[0])
             for notice in reply.notices:
-                found = MISSING.search(notice.text)
-                if notice.sqlstate == "01MN1" and found:
-                    lows = [int(part.split("..")[0]) for part in found[1].split(", ")]
-                    ask.missing = tuple(self.schema.shard_of(low) for low in lows)
-
-    # ---- the day ----
-
-    async def run_day(self, start_roots):
-        """`start_roots(day, nursery)` starts the roots, filling in `rosters` and `addresses`."""
-        async with trio.open_nursery() as life:
-            self.fleet, self.told = Fleet(self.leaves, life), {}
-            self.life = life
-            await self.fleet.start(self.script.leaves.fresh)
-            if self.news is not None:
-                await self.news.start(life)
-            await start_roots(self, life)
-            async with trio.open_nursery() as self.nursery:
-                for trouble in self.script.troubles:
-                    self.nursery.start_soon(self.trouble, trouble)
-                await self.clients()
-            await trio.sleep(END_S)
-            for idle in self.idle.values():
+                match = MISSING_RANGES.search(notice.text)
+                if notice.sqlstate == "01MN1" and match:
+                    lows = [int(part.split("..")[0]) for part in match[1].split(", ")]
+                    query.missing = tuple(self.schema.shard_of(low) for low in lows)
+
+    # ---- the run ----
+
+    async def play(self, start_roots):
+        """Play the scenario and return its record.
+
+        `start_roots(run, nursery)` starts the roots and fills `roster_writers` and `root_addresses`.
+        """
+        async with trio.open_nursery() as background:
+            self.fleet, self.published_states = Fleet(self.leaves, background), {}
+            self.background = background
+            await self.fleet.start(self.scenario.leaves.fresh)
+            if self.consul is not None:
+                await self.consul.start(background)
+            await start_roots(self, background)
+            async with trio.open_nursery() as self.query_nursery:
+                for fault in self.scenario.troubles:
+                    self.query_nursery.start_soon(self.inject, fault)
+                await self.run_clients()
+            await trio.sleep(SETTLE_S)
+            for idle in self.idle_clients.values():
                 for client in idle:
                     client.close()
-            life.cancel_scope.cancel()
-        if self.news is not None:
-            self.record.endpoint_updates = updates_from_catalogue(self.news.answers)
+            background.cancel_scope.cancel()
+        if self.consul is not None:
+            self.record.endpoint_updates = updates_from_catalogue(self.consul.answers)
         for db in self.store.ranges:
             for order_id, n in db.execute("SELECT order_id, count(*) FROM holds GROUP BY order_id"):
                 self.record.effect_counts[order_id] = self.record.effect_counts.get(order_id, 0) + n
         return self.record
 
 
-async def roots_in_memory(day, life):
-    for me in range(day.script.roots):
+async def start_roots_in_memory(run, background):
+    """Start the roots of a run in this process, on its network."""
+    for me in range(run.scenario.roots):
         source = None
-        if day.news is None:
-            source = InMemoryEndpointFile(demo.roster_text(day.fleet))
-            day.rosters.append(lambda text, source=source: setattr(source, "text", text))
+        if run.consul is None:
+            source = InMemoryEndpointFile(demo.roster_text(run.fleet))
+            run.roster_writers.append(lambda text, source=source: setattr(source, "text", text))
         config = demo.config(
-            **configuration(day.script, me, "roster.json5", day.news and day.news.config())
+            **root_config(run.scenario, me, "roster.json5", run.consul and run.consul.config())
         )
-        seeded = random.Random(f"root {day.seed} {me}")
+        rng = random.Random(f"root {run.seed} {me}")
         root = Root(
             config,
-            day.network,
+            run.network,
             logs.null_logger(),
             source,
-            seed=day.seed * 100 + me,
-            random=seeded.randbytes,
+            seed=run.seed * 100 + me,
+            random=rng.randbytes,
         )
-        defects.plant(day.script.breach, root)
-        await life.start(root.run)
-        day.addresses.append(root.addresses[0])
-    day.tell()
+        defects.plant(run.scenario.breach, root)
+        await background.start(root.run)
+        run.root_addresses.append(root.addresses[0])
+    run.publish_roster()
 
 
-def on_virtual_clock(main, seed):
-    """Runs a day on a clock that costs no time; the same seed gives the same run."""
-    run = trio._core._run
-    run._ALLOW_DETERMINISTIC_SCHEDULING = True  # trio's own switch for reproducible runs
-    run._r.seed(seed)
+def run_on_virtual_clock(main, seed):
+    """Run `main` on a virtual clock, without waiting; the same seed gives the same run."""
+    trio_run = trio._core._run
+    trio_run._ALLOW_DETERMINISTIC_SCHEDULING = True  # trio's own switch for reproducible runs
+    trio_run._r.seed(seed)
     return trio.run(main, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 def terminate_all(processes):
-    """Ends processes that were started here: all are asked, and after 5 s each is killed."""
+    """Terminate processes started here; kill those that have not ended after 5 s."""
     for process in processes:
         process.terminate()
     for process in processes:
@@ -520,38 +546,38 @@
             process.wait()
 
 
-def play_virtual(script, seed):
-    """The record of a day on a virtual clock."""
+def play_virtual(scenario, seed):
+    """Play the scenario in memory on a virtual clock, and return the record."""
     network = MemoryNetwork()
 
     async def main():
-        day = Day(script, seed, network, slack_s=0.0)
-        defects.plant_in_leaves(script.breach, day)
-        return await day.run_day(roots_in_memory)
+        run = ScenarioRun(scenario, seed, network, slack_s=0.0)
+        defects.plant_in_leaves(scenario.breach, run)
+        return await run.play(start_roots_in_memory)
 
-    return on_virtual_clock(main, seed)
+    return run_on_virtual_clock(main, seed)
 
 
-def play_sockets(script, seed, slack_s=0.15):
-    """The record of a day over loopback sockets, each root a process of its own."""
+def play_sockets(scenario, seed, slack_s=0.15):
+    """Play the scenario over loopback sockets with a process for each root; return the record."""
     processes = []
 
-    async def roots(day, life):
-        folder = Path(day.folder)
-        for me in range(day.script.roots):
+    async def start_roots(run, background):
+        folder = Path(run.folder)
+        for me in range(run.scenario.roots):
             roster = folder / f"roster-{me}.json5"
 
             def write(text, roster=roster):
-                whole = roster.with_suffix(".new")
-                whole.write_text(text)
-                whole.rename(roster)
+                temporary = roster.with_suffix(".new")
+                temporary.write_text(text)
+                temporary.rename(roster)
 
-            write(demo.roster_text(day.fleet))
-            day.rosters.append(write)
+            write(demo.roster_text(run.fleet))
+            run.roster_writers.append(write)
             config = folder / f"root-{me}.json5"
             config.write_text(
                 json.dumps(
-                    configuration(day.script, me, roster.name, day.news and day.news.config())
+                    root_config(run.scenario, me, roster.name, run.consul and run.consul.config())
                 )
             )
             process = subprocess.Popen(
@@ -564,15 +590,15 @@
         for process in processes:
             line = await trio.to_thread.run_sync(process.stdout.readline)
             if "postgresql://" not in line:
-                raise RuntimeError(f"a root did not start: {line!r}")
-            day.addresses.append(line.split("postgresql://")[1].split()[0])
-        day.tell()
+                raise RuntimeError(f"root did not start; its first line of output: {line!r}")
+            run.root_addresses.append(line.split("postgresql://")[1].split()[0])
+        run.publish_roster()
 
     async def main(folder):
-        day = Day(script, seed, net.SocketNetwork(), slack_s)
-        day.folder = folder
-        defects.plant_in_leaves(script.breach, day)
-        return await day.run_day(roots)
+        run = ScenarioRun(scenario, seed, net.SocketNetwork(), slack_s)
+        run.folder = folder
+        defects.plant_in_leaves(scenario.breach, run)
+        return await run.play(start_roots)
 
     with tempfile.TemporaryDirectory(prefix="mothnotch-") as folder:
         try:
@@ -582,7 +608,7 @@
 
 
 def transcript(record):
-    """Every ask and everything the leaves saw, as lines: two runs of a seed must give the same."""
+    """Return all queries and leaf events as lines; they are equal in two runs of the same seed."""
     lines = [
         f"{a.started_at:.6f} {a.id} root={a.root} {a.class_name} {a.outcome} {a.sqlstate} {a.ended_at or 0:.6f} {a.value} {a.missing}"
         for a in record.queries
--- a/mothnotch/badday/root.py
+++ b/mothnotch/badday/root.py
@@ -1,5 +1,7 @@
-"""A root of a fleet day, a process of its own: `mothnotch serve`, with a fact that it states anew
-each second, and a planted defect where the day asks for one.
+"""The process of one root of a fleet day.
+
+It serves like `mothnotch serve`, publishes a fact every second, and has the planted defect that the
+scenario names, if any.
 
     python -m mothnotch.badday.root CONFIG [BREACH]
 """
@@ -13,19 +15,20 @@
 
 from mothnotch import logs, net
 from mothnotch.audit import defects
-from mothnotch.badday.fleet import chatter
+from mothnotch.badday.fleet import publish_timestamps
 from mothnotch.config import load
 from mothnotch.daemon import Root, cpu_time
 
 
-async def orphaned(scope, parent):
-    """Ends with the process that started it, however that ended."""
+async def exit_with_parent(scope, parent):
+    """Cancel the scope once the process that started this one has ended, for whatever reason."""
     while os.getppid() == parent:
         await trio.sleep(0.5)
     scope.cancel()
 
 
 async def main(path, breach):
+    """Serve until a signal arrives or the parent process ends."""
     parent = os.getppid()
     config, network = load(path), net.SocketNetwork()
     root = Root(config, network, logs.logger("json", config.log.level), cpu=cpu_time)
@@ -33,8 +36,8 @@
     async with trio.open_nursery() as nursery:
         with trio.open_signal_receiver(signal.SIGINT, signal.SIGTERM) as signals:
             await nursery.start(root.run)
-            nursery.start_soon(chatter, root, time.monotonic)
-            nursery.start_soon(orphaned, nursery.cancel_scope, parent)
+            nursery.start_soon(publish_timestamps, root, time.monotonic)
+            nursery.start_soon(exit_with_parent, nursery.cancel_scope, parent)
             print(f"serving postgresql://{root.addresses[0]}", flush=True)
             async for _ in signals:
                 nursery.cancel_scope.cancel()
--- a/mothnotch/badday/script.py
+++ b/mothnotch/badday/script.py
@@ -1,4 +1,4 @@
-"""The script of a bad day: JSON5, checked as a whole; and random ones, from a seed."""
+"""Scenarios of injected faults: read from JSON5 and validated, built in, or random from a seed."""
 
 import random
 from typing import Literal
@@ -27,8 +27,9 @@
 )
 
 
-EXTRA_FAULT_KINDS = ("replace",)  # not drawn: the drawn days stay as they are
-# Troubles of the catalogue, for days with `consul`.
+# Not part of random scenarios: a seed keeps giving the scenario that it gave before.
+EXTRA_FAULT_KINDS = ("replace",)
+# Faults of the catalogue, for scenarios with `consul`.
 CONSUL_FAULT_KINDS = (
     "consul_slow",
     "consul_silent",
@@ -43,8 +44,8 @@
 )
 
 
-# Troubles of the roots, of the links between them, and of theirs to `leaves`, for days with
-# `peers`. `roots` names the roots, `to` whom they reach.
+# Faults of the roots, of the links between them and of their links to `leaves`, for scenarios with
+# `peers`. `roots` are the roots concerned, `to` the roots at the other end of the links.
 FLEET_FAULT_KINDS = (
     "root_kill",
     "root_restart",
@@ -62,76 +63,77 @@
 
 
 class PeersSpec(Strict):
-    """Roots speak with one another. The bounds are in periods: by when one that is dead is held for
-    gone by all, by when all agree once nothing is wrong any more, by when all know a fact that is
-    stated anew each second.
-    """
+    """The roots exchange their state as peers. The bounds are in protocol periods."""
 
     period_ms: float = 200.0
-    gone: float = 30.0
-    agree: float = 25.0
-    fact: float = 25.0
+    gone: float = 30.0  # until all hold a dead root for gone
+    agree: float = 25.0  # until all agree after the last fault has ended
+    fact: float = 25.0  # until all know a fact that is published anew every second
 
 
 class ConsulSpec(Strict):
-    """The roster comes from a stand-in Consul of so many agents, of which a root watches `follow`."""
+    """The endpoint list comes from a stand-in for Consul."""
 
     agents: int = 3
-    follow: int = 2
+    follow: int = 2  # agents that a root watches
     wait_s: float = 5.0
 
 
 class FaultSpec(Strict):
-    """One trouble. `leaves`: names, or how many of them; `factor`: of slowness or load; `share`: of
-    failures.
-    """
+    """One fault to inject. Times are seconds from the start of the scenario."""
 
     kind: str
     at: float
     lasts: float = msgspec.field(default=2.0, name="for")
-    leaves: int | list[str] = 1
-    factor: float = 8.0
-    share: float = 0.9
+    leaves: int | list[str] = 1  # names, or the number of leaves to choose
+    factor: float = 8.0  # of slowness or load
+    share: float = 0.9  # of failures
     roots: list[int] = []
-    to: list[int] | None = None  # of links: all others
-    ms: float = 0.0  # of links: delay, and as much again of jitter
+    to: list[int] | None = None  # other ends of the links; None: all other roots
+    ms: float = 0.0  # delay on links, and the maximum of the jitter on top
 
 
 class LoadSpec(Strict):
-    rate: float = 40.0  # asks a second, all clients together, open loop
-    clients: int = 64  # connections at most
+    """The load of the clients."""
+
+    rate: float = 40.0  # queries a second of all clients together, open loop
+    clients: int = 64  # maximum number of connections
     mix: dict[str, float] = msgspec.field(
         default_factory=lambda: {"order-lookup": 0.6, "stock-search": 0.2, "hold-set": 0.2}
     )
-    transactions: float = 0.4  # of the writes: BEGIN ... COMMIT
-    leave: float = 0.02  # clients that leave midway
-    cancel: float = 0.02
-    retry: float = 0.0  # refused clients that ask again at once
-    timeout_ms: float = 1500.0  # the client's time
+    transactions: float = 0.4  # share of the writes in BEGIN ... COMMIT
+    leave: float = 0.02  # share of the clients that disconnect during a query
+    cancel: float = 0.02  # share of the queries that are cancelled
+    retry: float = 0.0  # share of the refused clients that retry at once
+    timeout_ms: float = 1500.0  # the clients' timeout
 
 
 class LeavesSpec(Strict):
+    """The stand-in leaves."""
+
     count: int = 8
     cores: int = 2
     work_ms: float = 4.0
-    cold_from: float = 0.3
-    cold_s: float = 4.0
-    fall_multiple: float = 3.0
-    fall_s: float = 2.0
-    fresh: bool = False  # all have only just started as the day begins
+    cold_from: float = 0.3  # share of its capacity that a leaf has just after a start
+    cold_s: float = 4.0  # until it has its full capacity
+    fall_multiple: float = 3.0  # a leaf fails if it is sent more than this multiple of its capacity
+    fall_s: float = 2.0  # for so long
+    fresh: bool = False  # whether all leaves have only just started when the scenario begins
 
 
 class Scenario(Strict):
+    """A load, the faults injected meanwhile, and the settings of roots and leaves."""
+
     seconds: float = 10.0
     roots: int = 2
-    rows: int = 20  # of stock in a range
+    rows: int = 20  # stock rows in a range
     load: LoadSpec = LoadSpec()
     leaves: LeavesSpec = LeavesSpec()
     budget_share: float | None = 0.2
     budget_free: int = 10
     budget_window_s: float = 5.0
     drain_grace_ms: float = 250.0
-    news_late_s: float = 0.0  # the roster is told to roots so late
+    news_late_s: float = 0.0  # delay of updates of the roster
     consul: ConsulSpec | None = None
     troubles: list[FaultSpec] = []
     breach: Literal[
@@ -156,61 +158,61 @@
 
 
 def load(text, path="script"):
-    """The checked script of a JSON5 text."""
-    script = decode(text, Scenario, path)
+    """Return the scenario of a JSON5 text; raise ConfigError with all errors of its values."""
+    scenario = decode(text, Scenario, path)
     errors = []
-    for n, trouble in enumerate(script.troubles):
+    for n, fault in enumerate(scenario.troubles):
         where = f"{path}: troubles[{n}]"
         kinds = (
             FAULT_KINDS
             + EXTRA_FAULT_KINDS
-            + (CONSUL_FAULT_KINDS if script.consul is not None else ())
-            + (FLEET_FAULT_KINDS if script.peers is not None else ())
+            + (CONSUL_FAULT_KINDS if scenario.consul is not None else ())
+            + (FLEET_FAULT_KINDS if scenario.peers is not None else ())
         )
-        if any(not 0 <= n < script.roots for n in [*trouble.roots, *(trouble.to or ())]):
-            errors.append(f"{where}.roots: there are roots 0 to {script.roots - 1}")
-        if trouble.kind in FLEET_FAULT_KINDS and not trouble.roots:
-            errors.append(f"{where}.roots: names none")
-        if trouble.kind not in kinds:
-            errors.append(f"{where}.kind: {trouble.kind!r} is not one of {', '.join(kinds)}")
-        if not 0 <= trouble.at < script.seconds:
+        if any(not 0 <= root < scenario.roots for root in [*fault.roots, *(fault.to or ())]):
+            errors.append(f"{where}.roots: must be from 0 to {scenario.roots - 1}")
+        if fault.kind in FLEET_FAULT_KINDS and not fault.roots:
+            errors.append(f"{where}.roots: must not be empty")
+        if fault.kind not in kinds:
+            errors.append(f"{where}.kind: {fault.kind!r} is not one of {', '.join(kinds)}")
+        if not 0 <= fault.at < scenario.seconds:
             errors.append(
-                f"{where}.at: {trouble.at:g} s is not within the day's {script.seconds:g} s"
+                f"{where}.at: {fault.at:g} s is not within the scenario's {scenario.seconds:g} s"
             )
-        if not 0 <= trouble.share <= 1:
-            errors.append(f"{where}.share: must lie between 0 and 1")
-    if script.leaves.count < 8:
-        errors.append(f"{path}: leaves.count: the sample's ranges need 8 at least")
-    if script.seconds <= 0 or script.load.rate <= 0 or script.roots < 1:
-        errors.append(f"{path}: seconds, load.rate and roots must be above 0")
-    for name in script.load.mix:
+        if not 0 <= fault.share <= 1:
+            errors.append(f"{where}.share: must be between 0 and 1")
+    if scenario.leaves.count < 8:
+        errors.append(f"{path}: leaves.count: must be at least 8, for the ranges of the demo")
+    if scenario.seconds <= 0 or scenario.load.rate <= 0 or scenario.roots < 1:
+        errors.append(f"{path}: seconds, load.rate and roots must be greater than 0")
+    for name in scenario.load.mix:
         if name not in ("order-lookup", "stock-search", "hold-set"):
-            errors.append(f"{path}: load.mix: class {name!r} is not one of the sample's")
+            errors.append(f"{path}: load.mix: class {name!r} is not a class of the demo")
     if errors:
         raise ConfigError(errors)
-    return script
+    return scenario
 
 
-def random_scenario(seed, seconds=3.0, rate=22.0, troubles=4):
-    """A random script: so many overlapping troubles of different kinds."""
-    r = random.Random(f"bad day {seed}")
-    found = []
-    for kind in r.sample(FAULT_KINDS, troubles):
-        at = r.uniform(0.2, seconds * 0.6)
-        found.append(
+def random_scenario(seed, seconds=3.0, rate=22.0, fault_count=4):
+    """Return a random scenario with that number of overlapping faults, each of another kind."""
+    rng = random.Random(f"bad day {seed}")
+    faults = []
+    for kind in rng.sample(FAULT_KINDS, fault_count):
+        at = rng.uniform(0.2, seconds * 0.6)
+        faults.append(
             FaultSpec(
                 kind,
                 round(at, 3),
-                round(r.uniform(0.3, seconds - at), 3),
-                1 if kind in ("crash", "vanish", "flapping") else r.randint(1, 3),
-                round(r.uniform(1.5, 2.5) if kind == "burst" else r.uniform(3, 12), 1),
-                round(r.uniform(0.4, 1.0), 2),
+                round(rng.uniform(0.3, seconds - at), 3),
+                1 if kind in ("crash", "vanish", "flapping") else rng.randint(1, 3),
+                round(rng.uniform(1.5, 2.5) if kind == "burst" else rng.uniform(3, 12), 1),
+                round(rng.uniform(0.4, 1.0), 2),
             )
         )
-    budget = r.random() < 0.7
+    has_budget = rng.random() < 0.7
     return Scenario(
         seconds,
-        r.choice([1, 2, 3]),
+        rng.choice([1, 2, 3]),
         8,
         LoadSpec(
             rate=rate,
@@ -218,64 +220,68 @@
             leave=0.04,
             cancel=0.04,
             retry=0.1,
-            timeout_ms=r.choice([600.0, 1000.0, 1500.0]),
+            timeout_ms=rng.choice([600.0, 1000.0, 1500.0]),
         ),
         LeavesSpec(),
-        0.2 if budget else None,
+        0.2 if has_budget else None,
         10,
         2.0,
         250.0,
         0.0,
         None,
-        found,
+        faults,
     )
 
 
 def random_departures(seed, seconds=4.0, rate=30.0):
-    """A random day with a catalogue: leaves that depart by whatever means, troubles of the agents,
-    of health checks and of the leaves themselves, all at once.
+    """Return a random scenario with a catalogue in which leaves depart by various means.
+
+    At the same time it has faults of the agents, of health checks and of the leaves themselves.
     """
-    r = random.Random(f"departures {seed}")
+    rng = random.Random(f"departures {seed}")
 
-    def trouble(kind, leaves=1, factor=None, last=seconds * 0.7):
-        at = r.uniform(0.3, last)
+    def make_fault(kind, leaves=1, factor=None, latest=seconds * 0.7):
+        at = rng.uniform(0.3, latest)
         return FaultSpec(
             kind,
             round(at, 3),
-            round(r.uniform(0.3, seconds - at), 3),
+            round(rng.uniform(0.3, seconds - at), 3),
             leaves,
-            round(r.uniform(1, 10) if factor is None else factor, 1),
-            round(r.uniform(0.4, 1.0), 2),
+            round(rng.uniform(1, 10) if factor is None else factor, 1),
+            round(rng.uniform(0.4, 1.0), 2),
         )
 
-    agents = r.choice([1, 2, 3])
-    found = [trouble("depart", r.choice([1, 1, 1, 2, 4])) for _ in range(2)]
-    found += [trouble(kind, r.randint(1, agents)) for kind in r.sample(CONSUL_FAULT_KINDS[:8], 2)]
-    found += [trouble("health_flapping", 1)] if r.random() < 0.5 else []
-    found += [
-        trouble(
-            r.choice(("deploy", "slow", "hang", "pauses", "crash", "burst", "fast_errors")),
+    agents = rng.choice([1, 2, 3])
+    faults = [make_fault("depart", rng.choice([1, 1, 1, 2, 4])) for _ in range(2)]
+    faults += [
+        make_fault(kind, rng.randint(1, agents)) for kind in rng.sample(CONSUL_FAULT_KINDS[:8], 2)
+    ]
+    faults += [make_fault("health_flapping", 1)] if rng.random() < 0.5 else []
+    faults += [
+        make_fault(
+            rng.choice(("deploy", "slow", "hang", "pauses", "crash", "burst", "fast_errors")),
             1,
-            r.uniform(2, 6),
+            rng.uniform(2, 6),
         )
     ]
     return Scenario(
         seconds,
-        r.choice([1, 2, 3]),
+        rng.choice([1, 2, 3]),
         8,
-        LoadSpec(rate=rate, transactions=0.4, timeout_ms=r.choice([1000.0, 1500.0])),
+        LoadSpec(rate=rate, transactions=0.4, timeout_ms=rng.choice([1000.0, 1500.0])),
         LeavesSpec(),
         0.2,
         10,
         2.0,
         250.0,
         0.0,
-        ConsulSpec(agents, r.randint(1, min(2, agents)), 2.0),
-        found,
+        ConsulSpec(agents, rng.randint(1, min(2, agents)), 2.0),
+        faults,
     )
 
 
-# Kinds of trouble of a bench day, as a socket can show them: (kind here, what `size` is).
+# The faults of a bench day that can be injected over sockets: their kind here, and the meaning of
+# their `size`.
 BENCH_FAULT_KINDS = {
     "crash": ("crash", "leaves"),
     "vanish": ("vanish", "leaves"),
@@ -303,34 +309,39 @@
 
 
 def scenario_from_bench_day(raw, seconds=20.0, leaves=8):
-    """(script, notes) of a bench day file's troubles: the same kinds, in the same order and
-    proportion of the day, over a day of `seconds` on the sample's leaves. Notes name what has no
-    counterpart and was left out.
+    """Return (scenario, notes) for the faults of a bench day file.
+
+    The scenario has the same kinds of faults in the same order, scaled in time to `seconds`, on the
+    leaves of the demo. The notes name the faults that have no counterpart and were left out.
     """
-    length, troubles, notes = raw["length"], [], []
-    for n, t in enumerate(raw["troubles"]):
-        if t["kind"] not in BENCH_FAULT_KINDS:
-            notes.append(f"troubles[{n}]: {t['kind']} cannot be shown over sockets here; left out")
+    length, faults, notes = raw["length"], [], []
+    for n, entry in enumerate(raw["troubles"]):
+        if entry["kind"] not in BENCH_FAULT_KINDS:
+            notes.append(
+                f"troubles[{n}]: {entry['kind']} cannot be injected over sockets; left out"
+            )
             continue
-        kind, size = BENCH_FAULT_KINDS[t["kind"]]
-        at = max(0.1, seconds * t["at"] / length)
+        kind, size_meaning = BENCH_FAULT_KINDS[entry["kind"]]
+        at = max(0.1, seconds * entry["at"] / length)
         if at >= seconds:
-            notes.append(f"troubles[{n}]: {t['kind']} begins after the day's end; left out")
+            notes.append(
+                f"troubles[{n}]: {entry['kind']} begins after the end of the day; left out"
+            )
             continue
-        lasts = min(seconds - at, max(0.3, seconds * t["len"] / length))
-        share, extra = float(t.get("size") or 0), float(t.get("extra") or 0)
-        made = FaultSpec(kind, round(at, 3), round(lasts, 3))
-        if size == "leaves":
-            made = msgspec.structs.replace(made, leaves=min(leaves, max(1, round(share * leaves))))
+        lasts = min(seconds - at, max(0.3, seconds * entry["len"] / length))
+        size, extra = float(entry.get("size") or 0), float(entry.get("extra") or 0)
+        fault = FaultSpec(kind, round(at, 3), round(lasts, 3))
+        if size_meaning == "leaves":
+            fault = msgspec.structs.replace(fault, leaves=min(leaves, max(1, round(size * leaves))))
             if kind == "slow":
-                made = msgspec.structs.replace(made, factor=max(1.5, extra))
+                fault = msgspec.structs.replace(fault, factor=max(1.5, extra))
             elif kind in ("fast_errors", "lost_answers"):
-                made = msgspec.structs.replace(made, share=min(1.0, extra) if extra else 0.8)
-        elif size == "factor":
-            made = msgspec.structs.replace(made, factor=min(4.0, max(1.1, share)))
-        troubles.append(made)
+                fault = msgspec.structs.replace(fault, share=min(1.0, extra) if extra else 0.8)
+        elif size_meaning == "factor":
+            fault = msgspec.structs.replace(fault, factor=min(4.0, max(1.1, size)))
+        faults.append(fault)
     return Scenario(
-        seconds=seconds, roots=min(3, max(1, len(raw.get("balancers", ())))), troubles=troubles
+        seconds=seconds, roots=min(3, max(1, len(raw.get("balancers", ())))), troubles=faults
     ), notes
 
 
@@ -357,8 +368,8 @@
     ],
 )
 
-# Roots together: kills, pauses, one-way cuts, loss, and word of an old life that comes again
-# seconds after it ended.
+# Roots as peers, with kills, pauses, one-way cuts, loss, and duplicates of datagrams that arrive
+# seconds late, after the incarnation that sent them has ended.
 PEERS = Scenario(
     seconds=32.0,
     roots=4,
@@ -378,5 +389,5 @@
     ],
 )
 FLEET_SCENARIOS = {"peers": PEERS}
-REMOVABLE_PARTS = {"peers": ("health", "streams")}  # what a day can be played without
+REMOVABLE_PARTS = {"peers": ("health", "streams")}  # parts of roots that can be disabled
 PLANTED_DEFECTS = {"peers": ("old_life", "young_facts", "never_gone", "hasty")}
