--- a/mothnotch/audit/defects.py
+++ b/mothnotch/audit/defects.py
@@ -129,15 +129,15 @@
 
         async def execute_and_repeat(event):
             count[0] += 1
-            before = len(client.out)
+            before = len(client.output)
             await on_execute(event)
             if count[0] % 8 == 0:
-                client.out += client.out[before:]
+                client.output += client.output[before:]
 
         client.on_execute = execute_and_repeat
         await client.run()
 
-    root.front.client = serve_client
+    root.front.serve_client = serve_client
 
 
 def old_life(root):
--- a/mothnotch/fronts/__init__.py
+++ b/mothnotch/fronts/__init__.py
@@ -1,3 +1,4 @@
-"""Fronts: what clients speak. Each turns statements into requests to the core and final answers
-into its protocol.
+"""Frontends, which serve clients over a protocol.
+
+A frontend turns statements into requests to the core and encodes the final answers.
 """
--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -1,5 +1,6 @@
-"""The PostgreSQL front: connections, startup, and the simple and extended protocols, over a
-Session.
+"""The PostgreSQL frontend: connections, startup, and the simple and extended query protocols.
+
+Statements are executed by the Session of each connection.
 """
 
 import os
@@ -8,7 +9,7 @@
 
 import trio
 
-from mothnotch.fronts.session import REPORTED, Session, Stream, duration_ms
+from mothnotch.fronts.session import REPORTED_SETTINGS, RowStream, Session, duration_ms
 from mothnotch.net import close_now, serve
 from mothnotch.pgwire import auth
 from mothnotch.pgwire import backend as b
@@ -18,15 +19,15 @@
 from mothnotch.sql import local
 from mothnotch.sql.errors import SqlError, unsupported
 
-READ_AHEAD = 1 << 18  # bytes of a client's that may wait while a statement of its runs
-MOST_PORTALS = 64
-STREAM_ROWS = 128  # of a long answer taken at once
-CHUNK = 1 << 17  # bytes of rows put together before they are sent
+READ_AHEAD_BYTES = 1 << 18  # maximum bytes that a client may send ahead while its statement runs
+MAX_PORTALS = 64
+STREAM_BATCH_ROWS = 128  # rows that are taken from a large result at once
+FLUSH_BYTES = 1 << 17  # bytes of output that are buffered before they are sent
 
 
 @dataclass(slots=True)
-class Prepared:
-    plan: object  # None: an empty statement
+class PreparedStatement:
+    plan: object  # None for an empty statement
     oids: tuple
 
 
@@ -34,25 +35,26 @@
 class Portal:
     plan: object
     parameters: tuple
-    formats: object  # the Bind, for its result formats
-    answer: object = None
-    at: int = 0
+    bind: object  # the Bind message, for its result formats
+    result: object = None
+    rows_sent: int = 0
 
 
 class Client:
-    """One connection, from accept to close."""
+    """The connection of one client, from accept to close."""
 
-    def __init__(self, front, stream):
-        self.front, self.stream = front, stream
-        self.wire = wire.ServerConnection(front.config.front.message_limit)
-        self.more, self.room = trio.Event(), trio.Event()
-        self.session, self.gone = None, False
+    def __init__(self, frontend, stream):
+        self.frontend, self.stream = frontend, stream
+        self.wire = wire.ServerConnection(frontend.config.front.message_limit)
+        self.data_received, self.input_consumed = trio.Event(), trio.Event()
+        self.session, self.disconnected = None, False
         self.statements, self.portals = OrderedDict(), {}
-        self.out = bytearray()
+        self.output = bytearray()
 
     # ---- bytes ----
 
     async def read_startup(self):
+        """Return the next event before reading ahead has started; raise EOFError at the end."""
         while True:
             event = self.wire.next_event()
             if event is not None:
@@ -62,77 +64,84 @@
                 raise EOFError
             self.wire.receive(data)
 
-    async def reader(self, scope):
-        """Reads ahead, so that a client that leaves is seen while its statement runs."""
+    async def read_ahead(self, scope):
+        """Read ahead, so that a disconnect is detected while a statement runs.
+
+        Cancel `scope` once the client has disconnected.
+        """
         try:
             while True:
-                while self.wire.buffered_bytes > READ_AHEAD + self.wire.framer.limit:
-                    self.room = trio.Event()
-                    await self.room.wait()
+                while self.wire.buffered_bytes > READ_AHEAD_BYTES + self.wire.framer.limit:
+                    self.input_consumed = trio.Event()
+                    await self.input_consumed.wait()
                 data = await self.stream.receive_some(1 << 16)
                 if not data:
                     break
                 self.wire.receive(data)
-                self.more.set()
+                self.data_received.set()
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        self.gone = True
+        self.disconnected = True
         scope.cancel()
 
     async def next_event(self):
+        """Return the next event; flush the output before waiting for it."""
         while True:
-            # Made before the look: what arrives during the flush must set this very event, or
-            # nobody wakes.
-            self.more = trio.Event()
+            # Created before the buffer is checked: data that arrives during the flush must set the
+            # event that is awaited below, or the wakeup is lost.
+            self.data_received = trio.Event()
             event = self.wire.next_event()
             if event is not None:
                 return event
             await self.flush()
-            self.room.set()
-            seconds, sqlstate, text = self.patience()
+            self.input_consumed.set()
+            seconds, sqlstate, text = self.idle_limit()
             with trio.move_on_after(seconds) as scope:
-                await self.more.wait()
-            if scope.cancelled_caught and not self.more.is_set():
+                await self.data_received.wait()
+            if scope.cancelled_caught and not self.data_received.is_set():
                 raise ProtocolError(text, sqlstate)
 
-    def patience(self):
-        """(seconds a client may stay silent, and what it is told then)."""
+    def idle_limit(self):
+        """Return (seconds a client may be idle, SQLSTATE and text of the error after that)."""
         limit = (
-            self.front.config.front.idle_s,
+            self.frontend.config.front.idle_s,
             "57P05",
             "terminating connection due to idle-session timeout",
         )
-        inside = duration_ms(self.session.get("idle_in_transaction_session_timeout")) / 1000
+        inside = duration_ms(self.session.get_setting("idle_in_transaction_session_timeout")) / 1000
         if inside and self.session.transaction.status.value != b"I" and inside < limit[0]:
             return inside, "25P03", "terminating connection due to idle-in-transaction timeout"
         return limit
 
     async def flush(self):
-        if self.out:
-            data, self.out = bytes(self.out), bytearray()
-            sent = self.front.network.send_now(self.stream, data)
+        """Send the buffered output."""
+        if self.output:
+            data, self.output = bytes(self.output), bytearray()
+            sent = self.frontend.network.send_now(self.stream, data)
             if sent < len(data):
-                with trio.fail_after(self.front.config.front.write_timeout_s):
+                with trio.fail_after(self.frontend.config.front.write_timeout_s):
                     await self.stream.send_all(data[sent:])
 
-    def error(self, error, extended):
+    def append_error(self, error, extended):
+        """Append an ErrorResponse to the output; `extended`: in the extended query protocol."""
         fields = b.ErrorFields(
             "ERROR", error.sqlstate, error.text, getattr(error, "detail", ""), error.hint
         )
-        self.out += b.error(fields)
+        self.output += b.error(fields)
         self.wire.on_error_sent(extended)
 
     # ---- startup ----
 
     async def run(self):
-        front = self.front
+        """Serve the client until it or the server ends the connection."""
+        frontend = self.frontend
         try:
             try:
-                with trio.fail_after(front.config.auth.timeout_s):
+                with trio.fail_after(frontend.config.auth.timeout_s):
                     if not await self.startup():
                         return
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self.reader, nursery.cancel_scope)
+                    nursery.start_soon(self.read_ahead, nursery.cancel_scope)
                     await self.serve()
                     nursery.cancel_scope.cancel()
             except BaseExceptionGroup as group:
@@ -140,41 +149,41 @@
                     group = group.exceptions[0]
                 raise group from None
         except ProtocolError as error:
-            front.log.info("client broke the protocol", error=str(error))
-            await self.farewell(error.sqlstate, str(error))
+            frontend.log.info("client violated the protocol", error=str(error))
+            await self.send_fatal_error(error.sqlstate, str(error))
         except auth.AuthenticationError as error:
-            front.log.info("client was not let in", error=str(error))
-            await self.farewell("28P01", str(error))
+            frontend.log.info("client authentication failed", error=str(error))
+            await self.send_fatal_error("28P01", str(error))
         except trio.TooSlowError:
             if self.session is None:
-                front.log.info("client did not finish its startup in time")
-                await self.farewell("57014", "canceling authentication due to timeout")
+                frontend.log.info("client startup timed out")
+                await self.send_fatal_error("57014", "canceling authentication due to timeout")
         except (EOFError, OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             if self.session is not None:
-                front.clients.pop(self.session.pid, None)
-            self.drop_portals()
+                frontend.clients.pop(self.session.pid, None)
+            self.close_portals()
             close_now(self.stream)
 
-    async def farewell(self, sqlstate, text):
-        """A last error, as far as the client still takes it."""
+    async def send_fatal_error(self, sqlstate, text):
+        """Send the buffered output and a FATAL error; give up after a second."""
         try:
             with trio.move_on_after(1):
                 await self.stream.send_all(
-                    bytes(self.out) + b.error(b.ErrorFields("FATAL", sqlstate, text))
+                    bytes(self.output) + b.error(b.ErrorFields("FATAL", sqlstate, text))
                 )
         except (OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
 
     async def startup(self):
-        """Until the client may ask; false if it only wanted to cancel."""
-        front = self.front
+        """Authenticate and create the session; return False after a CancelRequest."""
+        frontend = self.frontend
         declined = 0
         while True:
             event = await self.read_startup()
             if type(event) is wire.CancelRequest:
-                front.cancel(event)
+                frontend.cancel(event)
                 return False
             if type(event) is not wire.EncryptionRequest:
                 break
@@ -186,43 +195,43 @@
         if parameters.get("replication", "false").lower() not in ("false", "off", "no", "0"):
             raise ProtocolError("replication connections are not taken", "0A000")
         user, database = parameters["user"], parameters["database"]
-        self.out += self.wire.negotiate_version(parameters)
-        if front.config.auth.method == "trust":
-            self.out += b.AUTH_OK
+        self.output += self.wire.negotiate_version(parameters)
+        if frontend.config.auth.method == "trust":
+            self.output += b.AUTH_OK
         else:
-            self.out += b.authentication_sasl([auth.MECHANISM])
-            scram, done = auth.ScramServer(user, front.verifiers.get), False
+            self.output += b.authentication_sasl([auth.MECHANISM])
+            scram, done = auth.ScramServer(user, frontend.verifiers.get), False
             while not done:
                 await self.flush()
                 event = await self.read_startup()
                 if type(event) is not wire.Password:
                     raise auth.AuthenticationError("the client left during authentication")
                 reply, done = scram.step(event)
-                self.out += reply
+                self.output += reply
         self.wire.on_authenticated()
-        pid, secret = wire.key_data_from_random(front.random(8))
-        while pid in front.clients or pid == 0:
-            pid, secret = wire.key_data_from_random(front.random(8))
+        pid, secret = wire.key_data_from_random(frontend.random(8))
+        while pid in frontend.clients or pid == 0:
+            pid, secret = wire.key_data_from_random(frontend.random(8))
         self.secret = secret
-        self.session = Session(front.service, user, database, pid)
+        self.session = Session(frontend.service, user, database, pid)
         for name, value in parameters.items():
             if name not in ("user", "database", "replication", "options") and not name.startswith(
                 "_pq_."
             ):
                 try:
-                    self.session.put(name.lower(), value)
+                    self.session.set_setting(name.lower(), value)
                 except SqlError as error:
                     raise ProtocolError(error.text, error.sqlstate) from None
-        self.options(parameters.get("options", ""))
-        front.clients[pid] = self
-        for name, shown in REPORTED.items():
-            self.out += b.parameter_status(shown, self.session.get(name))
-        self.out += b.key_data(pid, secret) + b.READY[b"I"]
+        self.apply_options(parameters.get("options", ""))
+        frontend.clients[pid] = self
+        for name, reported_name in REPORTED_SETTINGS.items():
+            self.output += b.parameter_status(reported_name, self.session.get_setting(name))
+        self.output += b.key_data(pid, secret) + b.READY[b"I"]
         await self.flush()
         return True
 
-    def options(self, text):
-        """The startup packet's command-line options: `-c name=value`, `--name=value`."""
+    def apply_options(self, text):
+        """Apply command-line options of the startup packet: `-c name=value`, `--name=value`."""
         words = text.replace("\\ ", "\0").split()
         for n, word in enumerate(words):
             word = word.replace("\0", " ")
@@ -236,7 +245,7 @@
             name, equals, value = pair.partition("=")
             if equals:
                 try:
-                    self.session.put(
+                    self.session.set_setting(
                         name.replace("-", "_").lower() if word[:2] == "--" else name.lower(), value
                     )
                 except SqlError as error:
@@ -245,6 +254,7 @@
     # ---- events ----
 
     async def serve(self):
+        """Handle events until the client terminates the connection."""
         handlers = {
             wire.Query: self.on_query,
             wire.Parse: self.on_parse,
@@ -259,15 +269,17 @@
             if kind is wire.Terminate:
                 return
             if kind is wire.Sync:
-                self.session.synced()
+                self.session.on_sync()
                 if self.session.transaction.status.value == b"I":
-                    self.drop_portals()
-                self.out += self.ready()
+                    self.close_portals()
+                self.output += self.ready_for_query()
             elif kind is wire.Flush:
                 await self.flush()
             elif kind is wire.FunctionCall:
-                self.error(unsupported("the function call protocol", "call it in a SELECT"), False)
-                self.out += self.ready()
+                self.append_error(
+                    unsupported("the function call protocol", "call it in a SELECT"), False
+                )
+                self.output += self.ready_for_query()
             elif kind is not wire.CopyData:
                 try:
                     await handlers[kind](event)
@@ -280,66 +292,72 @@
                     raise
                 except SqlError as error:
                     self.session.transaction.mark_failed()
-                    self.error(error, kind is not wire.Query)
+                    self.append_error(error, kind is not wire.Query)
                     if kind is wire.Query:
-                        self.out += self.ready()
+                        self.output += self.ready_for_query()
                 except Exception as error:
-                    # A defect of the root's must cost one statement, not every client of this root.
-                    self.front.log.error("unexpected error", error=repr(error), exc_info=True)
+                    # A bug in the root must fail one statement only, not all clients of the root.
+                    self.frontend.log.error("unexpected error", error=repr(error), exc_info=True)
                     self.session.transaction.mark_failed()
-                    self.error(
+                    self.append_error(
                         SqlError("XX000", f"internal error: {type(error).__name__}"),
                         kind is not wire.Query,
                     )
                     if kind is wire.Query:
-                        self.out += self.ready()
-            if len(self.out) > CHUNK:
+                        self.output += self.ready_for_query()
+            if len(self.output) > FLUSH_BYTES:
                 await self.flush()
             if kind is wire.Sync or kind is wire.Query:
-                # Statements that need no leaf never wait: a pipeline of them must not hold up
-                # everybody else.
+                # Statements that need no leaf do not wait: a pipeline of them must not block all
+                # other clients.
                 await trio.lowlevel.checkpoint()
 
-    def ready(self):
+    def ready_for_query(self):
         return b.READY[self.session.transaction.status.value]
 
     async def on_query(self, event):
-        self.session.synced()
-        pieces = self.front.service.planner.split(event.sql)
-        if not pieces:
-            self.out += b.EMPTY_QUERY
-        # All are planned before the first runs: a bad one must not follow on the effects of others.
+        self.session.on_sync()
+        statement_texts = self.frontend.service.planner.split(event.sql)
+        if not statement_texts:
+            self.output += b.EMPTY_QUERY
+        # All are planned before the first is executed: if one is invalid, none may take effect.
         plans = [
-            await self.planned(self.front.service.planner.plan_text, piece) for piece in pieces
+            await self.make_plan(self.frontend.service.planner.plan_text, statement_text)
+            for statement_text in statement_texts
         ]
-        self.check_together([plan for plan, _ in plans])
+        self.check_multi_statement_writes([plan for plan, _ in plans])
         for plan, values in plans:
             if len(plan.oids) != len(values):
                 raise SqlError("42P02", "there is no parameter $1")
-            answer = await self.session.execute(plan, values)
-            self.ran(plan, answer)
-            tag = answer.tag
-            if answer.rows is not None:
-                self.out += b.row_description([column(name, oid) for name, oid in plan.columns])
-                if type(answer.rows) is Stream:
-                    tag = f"{tag} {await self.stream_rows(answer.rows, None, plan)}"
+            result = await self.session.execute(plan, values)
+            self.append_effects(plan, result)
+            tag = result.tag
+            if result.rows is not None:
+                self.output += b.row_description(
+                    [column_description(name, oid) for name, oid in plan.columns]
+                )
+                if type(result.rows) is RowStream:
+                    tag = f"{tag} {await self.send_stream(result.rows, None, plan)}"
                 else:
-                    await self.rows(answer.rows, None, plan)
-            self.out += b.command_complete(tag)
-        self.session.synced()
-        self.out += self.ready()
-
-    async def planned(self, plan, text, *declared):
-        """A plan; a long text is read beside the loop, as the parser would hold up everybody for
-        its time.
+                    await self.send_rows(result.rows, None, plan)
+            self.output += b.command_complete(tag)
+        self.session.on_sync()
+        self.output += self.ready_for_query()
+
+    async def make_plan(self, plan, text, *declared):
+        """Return the plan of a statement.
+
+        A long text is planned in a thread, because parsing it would block the event loop.
         """
-        if self.front.service.planner.is_cheap_to_plan(text, *declared):
+        if self.frontend.service.planner.is_cheap_to_plan(text, *declared):
             return plan(text, *declared)
-        return await self.front.network.run_in_thread(plan, text, *declared)
+        return await self.frontend.network.run_in_thread(plan, text, *declared)
 
-    def check_together(self, plans):
-        """Several statements in one query text are one transaction to PostgreSQL: a write among
-        them, outside of an explicit block, could not be undone with the others.
+    def check_multi_statement_writes(self, plans):
+        """Reject a write among several statements of one query text, outside of a BEGIN block.
+
+        PostgreSQL runs such statements in one transaction, but the root could not roll back the
+        write together with the others.
         """
         if len(plans) < 2:
             return
@@ -356,15 +374,17 @@
                     "together; use BEGIN and COMMIT, or send them one by one",
                 )
 
-    def ran(self, plan, answer):
+    def append_effects(self, plan, result):
+        """Append the notices and changed settings of a statement; deallocate what it names."""
         if type(plan.statement) in (local.Deallocate, local.Discard):
             self.deallocate(plan.statement)
-        for fields in answer.notices:
-            self.out += b.notice(fields)
-        for name, value in answer.changed.items():
-            self.out += b.parameter_status(name, value)
+        for fields in result.notices:
+            self.output += b.notice(fields)
+        for name, value in result.changed_settings.items():
+            self.output += b.parameter_status(name, value)
 
-    async def rows(self, rows, bind, plan):
+    async def send_rows(self, rows, bind, plan):
+        """Send rows in the result formats of `bind`, or as text if it is None."""
         binary = [
             n for n in range(len(plan.columns)) if bind is not None and bind.result_format_of(n)
         ]
@@ -373,23 +393,26 @@
                 row = list(row)
                 for n in binary:
                     row[n] = t.convert_format(plan.columns[n][1], row[n], True)
-            self.out += b.data_row(row)
-            if len(self.out) > CHUNK:
+            self.output += b.data_row(row)
+            if len(self.output) > FLUSH_BYTES:
                 await self.flush()
 
-    async def stream_rows(self, stream, bind, plan, most=None):
-        """Sends a stream's rows, `most` at most; gives how many. At its end, and on any error, it
-        is closed.
+    async def send_stream(self, stream, bind, plan, max_rows=None):
+        """Send at most `max_rows` rows of a stream and return their number.
+
+        The stream is closed at its end and on any error.
         """
         sent = 0
         try:
-            while most is None or sent < most:
+            while max_rows is None or sent < max_rows:
                 rows = await stream.take(
-                    STREAM_ROWS if most is None else min(STREAM_ROWS, most - sent)
+                    STREAM_BATCH_ROWS
+                    if max_rows is None
+                    else min(STREAM_BATCH_ROWS, max_rows - sent)
                 )
                 if not rows:
                     break
-                await self.rows(rows, bind, plan)
+                await self.send_rows(rows, bind, plan)
                 sent += len(rows)
         except BaseException:
             stream.close()
@@ -397,47 +420,52 @@
         return sent
 
     async def on_parse(self, event):
-        pieces = self.front.service.planner.split(event.sql)
-        if len(pieces) > 1:
+        statement_texts = self.frontend.service.planner.split(event.sql)
+        if len(statement_texts) > 1:
             raise SqlError("42601", "cannot insert multiple commands into a prepared statement")
         if event.name and event.name in self.statements:
             raise SqlError("42P05", f'prepared statement "{event.name}" already exists')
         plan = (
-            (await self.planned(self.front.service.planner.plan, pieces[0], tuple(event.oids)))
-            if pieces
+            (
+                await self.make_plan(
+                    self.frontend.service.planner.plan, statement_texts[0], tuple(event.oids)
+                )
+            )
+            if statement_texts
             else None
         )
-        if event.name and len(self.statements) >= self.front.config.front.prepared:
+        if event.name and len(self.statements) >= self.frontend.config.front.prepared:
             raise SqlError(
                 "53000",
-                f"a session keeps {self.front.config.front.prepared} prepared statements at most",
+                f"a session keeps {self.frontend.config.front.prepared} prepared statements "
+                "at most",
                 "Close those not needed (DEALLOCATE).",
             )
-        self.statements[event.name] = Prepared(plan, plan.oids if plan else ())
-        self.out += b.PARSE_COMPLETE
+        self.statements[event.name] = PreparedStatement(plan, plan.oids if plan else ())
+        self.output += b.PARSE_COMPLETE
 
-    def prepared(self, name):
+    def prepared_statement(self, name):
         if name not in self.statements:
             raise SqlError("26000", f'prepared statement "{name}" does not exist')
         return self.statements[name]
 
     async def on_bind(self, event):
-        prepared = self.prepared(event.statement)
+        prepared = self.prepared_statement(event.statement)
         if len(event.values) != len(prepared.oids):
             raise SqlError(
                 "08P01",
                 f"bind message supplies {len(event.values)} parameters, but prepared statement "
                 f'"{event.statement}" requires {len(prepared.oids)}',
             )
-        shown = len(prepared.plan.columns) if prepared.plan else 0
-        if len(event.result_formats) > 1 and len(event.result_formats) != shown:
+        column_count = len(prepared.plan.columns) if prepared.plan else 0
+        if len(event.result_formats) > 1 and len(event.result_formats) != column_count:
             raise SqlError(
                 "08P01",
                 f"bind message has {len(event.result_formats)} result formats but query has "
-                f"{shown} columns",
+                f"{column_count} columns",
             )
-        if event.portal and event.portal not in self.portals and len(self.portals) >= MOST_PORTALS:
-            raise SqlError("53000", f"a session keeps {MOST_PORTALS} portals at most")
+        if event.portal and event.portal not in self.portals and len(self.portals) >= MAX_PORTALS:
+            raise SqlError("53000", f"a session keeps {MAX_PORTALS} portals at most")
         values = []
         for n, (raw, oid) in enumerate(zip(event.values, prepared.oids, strict=True)):
             try:
@@ -452,101 +480,104 @@
                 raise SqlError("22021", f"parameter ${n + 1} is not UTF-8") from None
             if isinstance(values[-1], str) and "\0" in values[-1]:
                 raise SqlError("22021", f"parameter ${n + 1} holds a zero byte")
-        self.drop_portals(event.portal)
+        self.close_portals(event.portal)
         self.portals[event.portal] = Portal(prepared.plan, tuple(values), event)
-        self.out += b.BIND_COMPLETE
+        self.output += b.BIND_COMPLETE
 
-    def drop_portals(self, *names):
-        """Forgets portals, all if none is named; what their answers are held in is let go."""
+    def close_portals(self, *names):
+        """Remove portals, all if none is named, and release the storage of their results."""
         for name in names or list(self.portals):
             portal = self.portals.pop(name, None)
             if (
                 portal is not None
-                and portal.answer is not None
-                and type(portal.answer.rows) is Stream
+                and portal.result is not None
+                and type(portal.result.rows) is RowStream
             ):
-                portal.answer.rows.close()
+                portal.result.rows.close()
 
-    def portal(self, name):
+    def find_portal(self, name):
         if name not in self.portals:
             raise SqlError("34000", f'portal "{name}" does not exist')
         return self.portals[name]
 
     async def on_describe(self, event):
         if event.kind == "S":
-            prepared = self.prepared(event.name)
-            self.out += b.parameter_description(prepared.oids)
+            prepared = self.prepared_statement(event.name)
+            self.output += b.parameter_description(prepared.oids)
             plan, bind = prepared.plan, None
         else:
-            portal = self.portal(event.name)
-            plan, bind = portal.plan, portal.formats
+            portal = self.find_portal(event.name)
+            plan, bind = portal.plan, portal.bind
         if plan is None or not plan.columns:
-            self.out += b.NO_DATA
+            self.output += b.NO_DATA
         else:
-            self.out += b.row_description(
+            self.output += b.row_description(
                 [
-                    column(name, oid, bind.result_format_of(n) if bind else 0)
+                    column_description(name, oid, bind.result_format_of(n) if bind else 0)
                     for n, (name, oid) in enumerate(plan.columns)
                 ]
             )
 
     async def on_execute(self, event):
-        portal = self.portal(event.portal)
+        portal = self.find_portal(event.portal)
         if portal.plan is None:
-            self.out += b.EMPTY_QUERY
+            self.output += b.EMPTY_QUERY
             return
-        if portal.answer is None:
-            portal.answer = await self.session.execute(portal.plan, portal.parameters)
-            self.ran(portal.plan, portal.answer)
-        answer = portal.answer
-        if answer.rows is None:
-            self.out += b.command_complete(answer.tag)
+        if portal.result is None:
+            portal.result = await self.session.execute(portal.plan, portal.parameters)
+            self.append_effects(portal.plan, portal.result)
+        result = portal.result
+        if result.rows is None:
+            self.output += b.command_complete(result.tag)
             return
-        if type(answer.rows) is Stream:
-            most = event.max_rows if event.max_rows > 0 else None
-            sent = await self.stream_rows(answer.rows, portal.formats, portal.plan, most)
-            # Whether that was the last row is not known before the next is asked for: PostgreSQL
-            # suspends then too.
-            self.out += (
-                b.PORTAL_SUSPENDED if sent == most else b.command_complete(f"{answer.tag} {sent}")
+        if type(result.rows) is RowStream:
+            max_rows = event.max_rows if event.max_rows > 0 else None
+            sent = await self.send_stream(result.rows, portal.bind, portal.plan, max_rows)
+            # Whether more rows follow is only known once they are requested; PostgreSQL suspends
+            # the portal in this case too.
+            self.output += (
+                b.PORTAL_SUSPENDED
+                if sent == max_rows
+                else b.command_complete(f"{result.tag} {sent}")
             )
             return
         rows = (
-            answer.rows[portal.at : portal.at + event.max_rows]
+            result.rows[portal.rows_sent : portal.rows_sent + event.max_rows]
             if event.max_rows > 0
-            else answer.rows[portal.at :]
+            else result.rows[portal.rows_sent :]
         )
-        await self.rows(rows, portal.formats, portal.plan)
-        portal.at += len(rows)
-        if event.max_rows > 0 and portal.at < len(answer.rows):
-            self.out += b.PORTAL_SUSPENDED
+        await self.send_rows(rows, portal.bind, portal.plan)
+        portal.rows_sent += len(rows)
+        if event.max_rows > 0 and portal.rows_sent < len(result.rows):
+            self.output += b.PORTAL_SUSPENDED
             return
-        self.out += b.command_complete(
-            answer.tag if portal.at == len(rows) else f"{answer.tag.split()[0]} {len(rows)}"
+        self.output += b.command_complete(
+            result.tag if portal.rows_sent == len(rows) else f"{result.tag.split()[0]} {len(rows)}"
         )
 
     def deallocate(self, statement):
         if type(statement) is local.Discard or statement.name is None:
             self.statements.clear()
         else:
-            self.prepared(statement.name)
+            self.prepared_statement(statement.name)
             del self.statements[statement.name]
 
     async def on_close(self, event):
         if event.kind == "S":
             self.statements.pop(event.name, None)
         else:
-            self.drop_portals(event.name)
-        self.out += b.CLOSE_COMPLETE
+            self.close_portals(event.name)
+        self.output += b.CLOSE_COMPLETE
 
 
-def column(name, oid, format=0):
+def column_description(name, oid, format=0):
     return b.Column(name, oid, t.SIZES.get(oid, -1), format)
 
 
 class PgFrontend:
-    """All connections of the front. `random(n)` gives n bytes for secrets, a seeded source under a
-    virtual clock.
+    """Serves all connections of PostgreSQL clients.
+
+    `random(n)` returns n bytes for secrets; with a virtual clock it is a seeded source.
     """
 
     def __init__(self, service, config, network, log, random=os.urandom):
@@ -565,21 +596,25 @@
             }
 
     def cancel(self, event):
-        """A CancelRequest ends what that client runs now; a wrong secret does nothing, and says
-        nothing.
+        """Cancel the statement that the client of a CancelRequest runs.
+
+        A wrong secret is ignored without a response.
         """
         client = self.clients.get(event.pid)
         if client is not None and client.secret == event.secret:
             client.session.cancel()
 
-    async def client(self, stream):
+    async def serve_client(self, stream):
+        """Serve the client that is connected to a stream."""
         await Client(self, stream).run()
 
-    async def turn_away(self, stream):
-        await Client(self, stream).farewell("53300", "sorry, too many clients already")
+    async def reject(self, stream):
+        """Reject a client, because there are too many connections."""
+        await Client(self, stream).send_fatal_error("53300", "sorry, too many clients already")
         close_now(stream)
 
     async def run(self, listeners, nursery):
+        """Accept connections until cancelled."""
         await serve(
-            listeners, self.client, nursery, self.config.front.most_connections, self.turn_away
+            listeners, self.serve_client, nursery, self.config.front.most_connections, self.reject
         )
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -1,7 +1,7 @@
-"""One client's session over SQL: its settings, its transaction, and the running of plans through
-the core.
+"""The SQL session of a client: its settings, its transaction and the execution of plans.
 
-No protocol shows here: `execute(plan, parameters)` gives an Answer or raises SqlError.
+The session is independent of the wire protocol: `execute(plan, parameters)` returns a
+StatementResult or raises SqlError.
 """
 
 import itertools
@@ -21,8 +21,10 @@
 from mothnotch.sql.errors import SqlError, unsupported
 from mothnotch.sql.gather import IN_MEMORY_LIMIT_BYTES, gather, gather_blocks
 
-UNITS = {"us": 0.001, "ms": 1, "s": 1000, "min": 60_000, "h": 3_600_000, "d": 86_400_000, "": 1}
-DEFAULTS = {
+# Unit of a time setting -> milliseconds; a number without unit is in milliseconds.
+UNIT_MS = {"us": 0.001, "ms": 1, "s": 1000, "min": 60_000, "h": 3_600_000, "d": 86_400_000, "": 1}
+# Settings that a session may change, with their initial values.
+DEFAULT_SETTINGS = {
     "application_name": "",
     "client_encoding": "UTF8",
     "datestyle": "ISO, MDY",
@@ -44,7 +46,8 @@
     "session_characteristics": "",
     "mothnotch.class": "",
 }
-FIXED = {
+# Settings that cannot be changed.
+READ_ONLY_SETTINGS = {
     "server_version": local.SERVER_VERSION,
     "server_version_num": "150000",
     "server_encoding": "UTF8",
@@ -58,8 +61,8 @@
     "lc_ctype": "C",
     "transaction_read_only": "off",
 }
-# What a setting may be set to, where only one value is honoured.
-ONLY = {
+# Accepted values of settings for which the root supports only one value.
+ACCEPTED_VALUES = {
     "client_encoding": ("utf8", "utf-8", "unicode"),
     "standard_conforming_strings": ("on", "true", "1"),
     "server_encoding": ("utf8",),
@@ -67,7 +70,8 @@
     "default_transaction_isolation": ("read committed", "read uncommitted"),
     "transaction_isolation": ("read committed", "read uncommitted"),
 }
-REPORTED = {
+# Settings that are reported to the client as ParameterStatus -> name in that message.
+REPORTED_SETTINGS = {
     "application_name": "application_name",
     "client_encoding": "client_encoding",
     "datestyle": "DateStyle",
@@ -84,64 +88,71 @@
 
 
 @dataclass(slots=True)
-class Answer:
-    """What a statement gave: rows in text format, a command tag, and notices to go ahead of it."""
+class StatementResult:
+    """The result of a statement: rows in text format, and a command tag.
+
+    The client receives `notices` before the tag.
+    """
 
     tag: str
-    rows: object = None  # a list or a Stream; None: a statement without rows
+    rows: object = None  # a list or a RowStream; None for a statement that returns no rows
     notices: list = field(default_factory=list)
-    changed: dict = field(default_factory=dict)  # settings that the client is to be told
+    changed_settings: dict = field(default_factory=dict)  # settings to report to the client
+
 
+class RowStream:
+    """Rows that are produced in blocks and can be read once.
 
-class Stream:
-    """Rows that come in blocks and are read once. `close` lets go of what they are held in."""
+    `close` releases the storage that contains them.
+    """
+
+    def __init__(self, blocks, storage):
+        self.blocks, self.storage, self.pending_rows, self.closed = blocks, storage, [], False
 
-    def __init__(self, blocks, room):
-        self.blocks, self.room, self.rest, self.ended = blocks, room, [], False
+    async def take(self, max_rows):
+        """Return at most `max_rows` of the next rows, an empty list at the end.
 
-    async def take(self, most):
-        """The next rows, `most` at most; with an empty list there are no more. Lets others run in
-        between.
+        Other tasks may run between blocks.
         """
-        while not self.rest and not self.ended:
+        while not self.pending_rows and not self.closed:
             try:
-                self.rest = next(self.blocks)
+                self.pending_rows = next(self.blocks)
             except StopIteration:
                 self.close()
             await trio.lowlevel.checkpoint()
-        rows, self.rest = self.rest[:most], self.rest[most:]
+        rows, self.pending_rows = self.pending_rows[:max_rows], self.pending_rows[max_rows:]
         return rows
 
     def close(self):
-        self.ended = True
+        self.closed = True
         self.blocks.close()
-        self.room.close()
+        self.storage.close()
 
 
 @dataclass(slots=True)
 class Service:
-    """What all sessions of a root share."""
+    """State that all sessions of a root share."""
 
     core: object
     planner: object
     schema: object
     config: object
-    name: str  # tells this run of this root from every other: begins each key
-    keys: object = field(default_factory=lambda: itertools.count(1))
-    costs: object = field(default_factory=request_classes.CostEstimator)
-    kinds: dict = field(init=False)  # class -> (takes writes, is default)
+    run_name: str  # unique for this run of this root: prefix of the idempotency keys
+    key_numbers: object = field(default_factory=lambda: itertools.count(1))
+    cost_estimator: object = field(default_factory=request_classes.CostEstimator)
+    class_kinds: dict = field(init=False)  # class -> (takes writes, is default)
 
     def __post_init__(self):
-        self.kinds = self.config.class_kinds()
+        self.class_kinds = self.config.class_kinds()
 
 
 def duration_ms(text):
-    """A setting's time in milliseconds: `1500`, `2s`, `1 min`."""
+    """Parse the value of a time setting, for example `1500`, `2s` or `1 min`, to milliseconds."""
     text = text.strip()
     digits = text.rstrip("abcdefghijklmnopqrstuvwxyz ")
     unit = text[len(digits) :].strip()
     try:
-        value = float(digits) * UNITS[unit]
+        value = float(digits) * UNIT_MS[unit]
     except (ValueError, KeyError):
         raise SqlError(
             "22023", f'invalid value for parameter: "{text[:40]}" is not a time'
@@ -152,38 +163,54 @@
 
 
 class Session:
+    """The session of one client.
+
+    `pid`: the process ID that the client receives to cancel statements.
+    """
+
     def __init__(self, service, user, database, pid=0):
         self.service, self.user, self.database, self.pid = service, user, database, pid
-        self.settings, self.before, self.local = dict(DEFAULTS), None, {}
+        self.settings, self.settings_at_begin, self.values_before_set_local = (
+            dict(DEFAULT_SETTINGS),
+            None,
+            {},
+        )
         self.transaction = transactions.Transaction()
-        self.scope = None  # of the request under way
+        self.request_scope = None  # cancel scope of the request in flight
         self.cancelled = False
-        self.coverage = Coverage(())  # of the last SELECT answered
-        self.loose_write = False  # a write since the last Sync, outside of a transaction block
+        self.coverage = Coverage(())  # of the last SELECT that was answered
+        # True if a write ran since the last Sync, outside of a transaction block.
+        self.wrote_since_sync = False
 
     # ---- settings ----
 
-    def get(self, name):
+    def get_setting(self, name):
+        """Return the value of a setting; raise SqlError if it is unknown."""
         if name == "session_authorization":
             return self.user
         if name == "transaction_read_only":
             return "on" if self.transaction.read_only else "off"
-        value = self.settings.get(name, FIXED.get(name))
+        value = self.settings.get(name, READ_ONLY_SETTINGS.get(name))
         if value is None:
             raise SqlError("42704", f'unrecognized configuration parameter "{name}"')
         return value
 
-    def put(self, name, value):
-        """Sets a setting; gives what the client is to be told of it."""
+    def set_setting(self, name, value):
+        """Set a setting, or reset it if `value` is None.
+
+        Return the change to report to the client, as a dictionary.
+        """
         if name == "names":
             name = "client_encoding"
         if value is None:
-            value = DEFAULTS.get(name, FIXED.get(name, ""))
-        if name in ONLY:
-            if value.lower().replace("'", "") not in ONLY[name]:
-                raise unsupported(f"{name} = {value}", f"only {ONLY[name][0]} is given here")
+            value = DEFAULT_SETTINGS.get(name, READ_ONLY_SETTINGS.get(name, ""))
+        if name in ACCEPTED_VALUES:
+            if value.lower().replace("'", "") not in ACCEPTED_VALUES[name]:
+                raise unsupported(
+                    f"{name} = {value}", f"only {ACCEPTED_VALUES[name][0]} is given here"
+                )
             return {}
-        if name in FIXED:
+        if name in READ_ONLY_SETTINGS:
             raise SqlError("55P02", f'parameter "{name}" cannot be changed')
         if name == "mothnotch.class" and value and value not in self.service.config.classes:
             raise SqlError(
@@ -195,17 +222,17 @@
             raise unsupported(f"DateStyle = {value}", "dates are given as ISO here")
         if name in ("statement_timeout", "lock_timeout", "idle_in_transaction_session_timeout"):
             duration_ms(value)
-        if name not in DEFAULTS and "." not in name:
+        if name not in DEFAULT_SETTINGS and "." not in name:
             raise SqlError("42704", f'unrecognized configuration parameter "{name}"')
-        if name not in self.settings and len(self.settings) >= len(DEFAULTS) + 64:
+        if name not in self.settings and len(self.settings) >= len(DEFAULT_SETTINGS) + 64:
             raise SqlError("54000", "a session keeps 64 settings of its own at most")
         if len(value) > 1024:
             raise SqlError("22023", f"value of {name} is longer than 1024 characters")
         self.settings[name] = value
-        return {REPORTED[name]: value} if name in REPORTED else {}
+        return {REPORTED_SETTINGS[name]: value} if name in REPORTED_SETTINGS else {}
 
     def function(self, name, arguments):
-        """What a function without a table gives: see mothnotch.sql.local.SESSION_FUNCTIONS."""
+        """Evaluate a session function; see mothnotch.sql.local.SESSION_FUNCTIONS."""
         if name == "version":
             return local.VERSION
         if name in ("current_database", "current_catalog"):
@@ -220,30 +247,31 @@
             return False
         if name == "current_setting":
             try:
-                return self.get(str(arguments[0]).lower())
+                return self.get_setting(str(arguments[0]).lower())
             except SqlError:
                 if len(arguments) > 1 and arguments[1]:
                     return None
                 raise
         if name == "set_config" and len(arguments) == 3:
-            self.put(str(arguments[0]).lower(), str(arguments[1] or ""))
+            self.set_setting(str(arguments[0]).lower(), str(arguments[1] or ""))
             return str(arguments[1] or "")
         if name == "pg_advisory_unlock_all":
             return ""
         raise unsupported(f"function {name}()", "the root does not answer it")
 
-    # ---- running ----
+    # ---- execution ----
 
     def cancel(self):
-        """A CancelRequest: what runs now is ended; what comes next is not."""
-        if self.scope is not None:
+        """Cancel the request in flight, if any; later requests are not affected."""
+        if self.request_scope is not None:
             self.cancelled = True
-            self.scope.cancel()
+            self.request_scope.cancel()
 
-    def synced(self):
-        self.loose_write = False
+    def on_sync(self):
+        self.wrote_since_sync = False
 
     async def execute(self, plan, parameters):
+        """Execute a plan; on an error, mark the transaction as failed and raise SqlError."""
         try:
             return await self._execute(plan, parameters)
         except transactions.RequestRejectedError as error:
@@ -271,7 +299,7 @@
                 "RELEASE": self.transaction.release_savepoint,
                 "ROLLBACK": self.transaction.rollback_to_savepoint,
             }[statement.action](statement.name)
-            return Answer(statement.tag)
+            return StatementResult(statement.tag)
         self.transaction.check_not_failed()
         if plan.kind == "select":
             self.transaction.check_read(plan.tables)
@@ -289,16 +317,16 @@
                     ErrorFields("WARNING", "25001", "there is already a transaction in progress")
                 )
             else:
-                self.before, self.local = dict(self.settings), {}
+                self.settings_at_begin, self.values_before_set_local = dict(self.settings), {}
             self.transaction.begin(statement.read_only)
-            return Answer(statement.tag, notices=notices)
+            return StatementResult(statement.tag, notices=notices)
         if kind is local.Set:
             if statement.name == "transaction":
-                return Answer("SET")
+                return StatementResult("SET")
             open_block = self.transaction.status is not transactions.Status.IDLE
             if statement.local:
                 if not open_block:
-                    return Answer(
+                    return StatementResult(
                         "SET",
                         notices=[
                             ErrorFields(
@@ -308,25 +336,31 @@
                             )
                         ],
                     )
-                self.local.setdefault(statement.name, self.settings.get(statement.name, ""))
-            return Answer("SET", changed=self.put(statement.name, statement.value))
+                self.values_before_set_local.setdefault(
+                    statement.name, self.settings.get(statement.name, "")
+                )
+            return StatementResult(
+                "SET", changed_settings=self.set_setting(statement.name, statement.value)
+            )
         if kind is local.Show:
             if statement.name == "all":
                 raise unsupported("SHOW ALL", "name the setting")
-            return Answer("SHOW", [[self.get(statement.name).encode()]])
+            return StatementResult("SHOW", [[self.get_setting(statement.name).encode()]])
         if kind is local.Reset or kind is local.Discard:
             if kind is local.Reset and statement.name is not None:
-                return Answer("RESET", changed=self.put(statement.name, None))
-            self.settings = dict(DEFAULTS)
-            return Answer(statement.tag)
+                return StatementResult(
+                    "RESET", changed_settings=self.set_setting(statement.name, None)
+                )
+            self.settings = dict(DEFAULT_SETTINGS)
+            return StatementResult(statement.tag)
         if kind is local.Explain:
-            return Answer(
+            return StatementResult(
                 "EXPLAIN", [[line.encode()] for line in self.explain(statement.plan, parameters)]
             )
         if kind is local.TablelessRow:
             evaluator = local.LocalEvaluator(parameters, self)
             row = [evaluator.value(node) for node in statement.expressions]
-            return Answer(
+            return StatementResult(
                 "SELECT 1",
                 [
                     [
@@ -336,59 +370,62 @@
                 ],
             )
         if kind is local.NoRows:
-            return Answer("SELECT 0", [])
+            return StatementResult("SELECT 0", [])
         if kind is local.CoverageRows:
             rows = [
                 [
                     None if v is None else t.to_text(oid, v)
-                    for v, (_, oid) in zip(statement.row(piece), plan.columns, strict=True)
+                    for v, (_, oid) in zip(statement.row(covered_range), plan.columns, strict=True)
                 ]
-                for piece in self.coverage.ranges
+                for covered_range in self.coverage.ranges
             ]
-            return Answer(f"SELECT {len(rows)}", rows)
-        return Answer(statement.tag)
+            return StatementResult(f"SELECT {len(rows)}", rows)
+        return StatementResult(statement.tag)
 
     # ---- requests ----
 
-    def class_for(self, writes):
+    def request_class(self, writes):
+        """Return the request class of a statement."""
         return request_classes.class_of(
-            self.service.kinds, self.settings["mothnotch.class"] or None, writes
+            self.service.class_kinds, self.settings["mothnotch.class"] or None, writes
         )
 
-    async def ask(self, kind, parts, key):
-        """One request through the core, within the client's time; a cancel ends it with 57014 or,
-        for a write, 40003.
+    async def execute_request(self, class_name, parts, affinity_key):
+        """Execute a request in the core, within the timeouts of its class and the session.
+
+        Cancelling it raises SqlError 57014, or 40003 for a write, whose outcome is unknown.
         """
-        service, c = self.service, self.service.config.classes[kind]
+        service, class_settings = self.service, self.service.config.classes[class_name]
         limit = request_classes.request_timeout_us(
-            int(c.deadline_ms * 1000), int(duration_ms(self.settings["statement_timeout"]) * 1000)
+            int(class_settings.deadline_ms * 1000),
+            int(duration_ms(self.settings["statement_timeout"]) * 1000),
         )
         memory = service.config.memory
-        full = outcomes.MERGE_FULL
+        merge_rejection = outcomes.MERGE_FULL
         request = Request(
-            kind,
+            class_name,
             self.user if self.user in service.config.tenants else None,
-            key,
+            affinity_key,
             now_us() + limit,
             tuple(parts),
-            priority_weight=c.worth,
+            priority_weight=class_settings.worth,
             overflow_error=ErrorFields(
                 "ERROR",
-                full.sqlstate,
-                full.text.format(memory=memory.limit_bytes, disk=memory.disk_bytes),
-                hint=full.hint,
+                merge_rejection.sqlstate,
+                merge_rejection.text.format(memory=memory.limit_bytes, disk=memory.disk_bytes),
+                hint=merge_rejection.hint,
             ),
         )
         self.cancelled, outcome = False, None
         try:
-            with trio.CancelScope() as self.scope:
+            with trio.CancelScope() as self.request_scope:
                 outcome = await service.core.execute(request)
         except OverloadedError as error:
-            return self.refused(error.args[1])
+            return self.raise_rejected(error.args[1])
         finally:
-            self.scope = None
+            self.request_scope = None
         if outcome is None:
-            if c.writes:
+            if class_settings.writes:
                 failure = outcomes.failure(True, False)
                 raise SqlError(
                     failure.sqlstate,
@@ -398,16 +435,16 @@
             raise SqlError("57014", "canceling statement due to user request")
         return outcome
 
-    def refused(self, retry_after_us):
+    def raise_rejected(self, retry_after_us):
         rejection = outcomes.rejection(retry_after_us)
         error = SqlError(rejection.sqlstate, rejection.text, rejection.hint)
         error.detail = rejection.detail
         raise error
 
-    def settled(self, outcome, writes=False, commits=False):
-        """Raises what is not rows."""
+    def raise_if_failed(self, outcome, writes=False, commits=False):
+        """Raise SqlError unless the outcome contains rows."""
         if outcome.status is FinalStatus.REJECTED:
-            self.refused(outcome.retry_after_us)
+            self.raise_rejected(outcome.retry_after_us)
         if outcome.status is FinalStatus.FAILED:
             failure = outcomes.failure(writes, commits, outcome.may_have_run)
             raise SqlError(failure.sqlstate, failure.text, failure.hint)
@@ -417,58 +454,61 @@
             error.detail = e.detail
             raise error
 
-    def bound(self, plan, parameters, shard, values=None):
-        """The statement as one range's leaf gets it."""
+    def bound_statement(self, plan, parameters, shard, values=None):
+        """Return the statement that is sent to the leaf of one bin range."""
         values, oids = plan.values(parameters) if values is None else values, plan.oids
         if not plan.inserted_shard_values:
             low, high = self.service.schema.range(shard)
             values += (str(low).encode(), str(high).encode())
             oids += (plan.shard_oid, plan.shard_oid)
         if plan.limited:
-            skip, show = plan.gather.limits(parameters)
-            values += (None if show is None else str(skip + show).encode(),)
+            offset, limit = plan.gather.limits(parameters)
+            values += (None if limit is None else str(offset + limit).encode(),)
             oids += (t.INT8,)
         return Statement(plan.sql, oids, values)
 
-    def specs(self, plan, parameters, shards, sql=None):
+    def part_specs(self, plan, parameters, shards, sql=None):
         weights, cost = (
             request_classes.part_weights(shards),
-            self.service.costs.estimate_us(plan.shape, plan.tables),
+            self.service.cost_estimator.estimate_us(plan.shape, plan.tables),
         )
         values, out = plan.values(parameters), []
         for shard, weight in zip(shards, weights, strict=True):
-            statement = self.bound(plan, parameters, shard, values)
+            statement = self.bound_statement(plan, parameters, shard, values)
             if sql is not None:
                 statement.sql = sql
-            out.append(PartSpec(shard, weight, cost, Read(statement, tag_of(shard))))
+            out.append(PartSpec(shard, weight, cost, Read(statement, range_comment(shard))))
         return out
 
-    def key_of(self, plan, parameters):
+    def affinity_key(self, plan, parameters):
         value = plan.shard_value(parameters)
         return None if value is None else str(value)
 
     async def read(self, plan, parameters):
+        """Execute a SELECT and merge the rows of its parts; warn if parts are missing."""
         if plan.gather is not None:
-            plan.gather.limits(parameters)  # refuses a bad LIMIT before anything is asked
+            plan.gather.limits(parameters)  # raises for an invalid LIMIT before a request is sent
         shards = plan.shards(self.service.schema, parameters)
-        kind = self.class_for(False)
-        specs = self.specs(plan, parameters, shards)
-        outcome = await self.ask(kind, specs, self.key_of(plan, parameters))
-        self.settled(outcome)
-        for took in outcome.latencies_us:
-            self.service.costs.record(plan.shape, plan.tables, took)
-        parts, room = [outcome.rows[n].rows for n in sorted(outcome.rows)], outcome.storage
-        if room is None or room.held + room.spilled <= IN_MEMORY_LIMIT_BYTES:
+        class_name = self.request_class(False)
+        specs = self.part_specs(plan, parameters, shards)
+        outcome = await self.execute_request(class_name, specs, self.affinity_key(plan, parameters))
+        self.raise_if_failed(outcome)
+        for latency_us in outcome.latencies_us:
+            self.service.cost_estimator.record(plan.shape, plan.tables, latency_us)
+        parts, storage = [outcome.rows[n].rows for n in sorted(outcome.rows)], outcome.storage
+        if storage is None or storage.held + storage.spilled <= IN_MEMORY_LIMIT_BYTES:
             try:
                 rows = gather(plan, parts, parameters)
             finally:
-                if room is not None:
-                    room.close()
-            answer = Answer(f"SELECT {len(rows)}", rows)
+                if storage is not None:
+                    storage.close()
+            result = StatementResult(f"SELECT {len(rows)}", rows)
         else:
-            answer = Answer("SELECT", Stream(gather_blocks(plan, parts, parameters, room), room))
+            result = StatementResult(
+                "SELECT", RowStream(gather_blocks(plan, parts, parameters, storage), storage)
+            )
         self.coverage = Coverage(
-            tuple(self.piece(spec, n, outcome) for n, spec in enumerate(specs))
+            tuple(self.range_coverage(spec, n, outcome) for n, spec in enumerate(specs))
         )
         missing = self.coverage.missing
         if missing:
@@ -477,20 +517,25 @@
                 outcomes.PARTIAL.sqlstate,
                 outcomes.PARTIAL.text.format(
                     percent=self.coverage.percent,
-                    missing=", ".join(coverage.format_range(piece) for piece in missing),
+                    missing=", ".join(
+                        coverage.format_range(covered_range) for covered_range in missing
+                    ),
                 ),
             )
-            fields.detail = f"{coverage.format_reasons(missing)}. The oldest piece was read {self.coverage.oldest_read_age_us // 1000} ms ago."
-            answer.notices.append(fields)
+            fields.detail = (
+                f"{coverage.format_reasons(missing)}. The oldest piece was read "
+                f"{self.coverage.oldest_read_age_us // 1000} ms ago."
+            )
+            result.notices.append(fields)
             self.service.core.log.info(
-                "answered in part",
-                class_name=kind,
+                "answered with partial results",
+                class_name=class_name,
                 share=self.coverage.share,
                 missing=coverage.format_reasons(missing),
             )
-        return answer
+        return result
 
-    def piece(self, spec, n, outcome):
+    def range_coverage(self, spec, n, outcome):
         low, high = self.service.schema.range(spec.shard)
         leaf, read_us = outcome.sources.get(n, (None, None))
         return RangeCoverage(
@@ -503,11 +548,12 @@
             read_us,
         )
 
-    def shown(self, shard):
+    def format_range(self, shard):
         low, high = self.service.schema.range(shard)
         return f"{low}..{high - 1}"
 
     async def write(self, plan, parameters):
+        """Execute a write: at once, or at COMMIT in a transaction block."""
         shards = plan.shards(self.service.schema, parameters)
         if len(shards) > 1:
             raise unsupported(
@@ -515,47 +561,49 @@
                 "no one leaf could commit it; name one range "
                 "in the WHERE, by a condition on the shard column",
             )
-        inside = self.transaction.status is not transactions.Status.IDLE
-        if inside:
-            return await self.keep(plan, parameters, shards)
-        if self.loose_write:
+        in_block = self.transaction.status is not transactions.Status.IDLE
+        if in_block:
+            return await self.buffer_write(plan, parameters, shards)
+        if self.wrote_since_sync:
             raise unsupported(
                 "a second write before Sync or in one query text",
                 "the two would have to commit together; " "use BEGIN and COMMIT",
             )
-        self.loose_write = True
+        self.wrote_since_sync = True
         if not shards:
-            return Answer(
+            return StatementResult(
                 "INSERT 0 0" if plan.tag == "INSERT" else f"{plan.tag} 0",
                 [] if plan.returning else None,
             )
         outcome = await self.send_write(
             shards[0],
             [plan],
-            [self.bound(plan, parameters, shards[0])],
+            [self.bound_statement(plan, parameters, shards[0])],
             [None],
-            self.key_of(plan, parameters),
+            self.affinity_key(plan, parameters),
             False,
         )
-        found = outcome.rows[0]
-        return Answer(found.tags[-1], found.rows if plan.returning else None)
+        rows = outcome.rows[0]
+        return StatementResult(rows.tags[-1], rows.rows if plan.returning else None)
 
-    async def send_write(self, shard, plans, statements, told, home, commits):
-        key = f"{self.service.name}-{next(self.service.keys)}"
-        payload = Write(key, tuple(statements), tuple(told), tag_of(shard))
+    async def send_write(self, shard, plans, statements, expected_counts, affinity_key, commits):
+        key = f"{self.service.run_name}-{next(self.service.key_numbers)}"
+        payload = Write(key, tuple(statements), tuple(expected_counts), range_comment(shard))
         name = (len(statements), plans[0].shape)
-        spec = PartSpec(shard, 1.0, self.service.costs.estimate_us(name, len(statements)), payload)
-        outcome = await self.ask(self.class_for(True), [spec], home)
-        self.settled(outcome, writes=True, commits=commits)
-        for took in outcome.latencies_us:
-            self.service.costs.record(name, len(statements), took)
+        spec = PartSpec(
+            shard, 1.0, self.service.cost_estimator.estimate_us(name, len(statements)), payload
+        )
+        outcome = await self.execute_request(self.request_class(True), [spec], affinity_key)
+        self.raise_if_failed(outcome, writes=True, commits=commits)
+        for latency_us in outcome.latencies_us:
+            self.service.cost_estimator.record(name, len(statements), latency_us)
         return outcome
 
-    async def keep(self, plan, parameters, shards):
-        """A write inside a transaction block: held until COMMIT, its count told now."""
+    async def buffer_write(self, plan, parameters, shards):
+        """Buffer a write of a transaction block until COMMIT; report its row count now."""
         if not shards:
             self.transaction.check_write(self.transaction.shard, plan.returning)
-            return Answer("INSERT 0 0" if plan.tag == "INSERT" else f"{plan.tag} 0")
+            return StatementResult("INSERT 0 0" if plan.tag == "INSERT" else f"{plan.tag} 0")
         shard = shards[0]
         self.transaction.check_write(shard, plan.returning)
         if not plan.row_count_known:
@@ -564,23 +612,30 @@
                 "the rows it will touch are not known before " "COMMIT",
             )
         if plan.inserted_shard_values:
-            told = len(plan.inserted_shard_values)
+            row_count = len(plan.inserted_shard_values)
         else:
             self.transaction.check_read((plan.table,))
-            specs = self.specs(plan, parameters, shards, plan.count_sql)
-            outcome = await self.ask(self.class_for(False), specs, self.key_of(plan, parameters))
-            self.settled(outcome)
-            ((told,),) = outcome.rows[0].rows
+            specs = self.part_specs(plan, parameters, shards, plan.count_sql)
+            outcome = await self.execute_request(
+                self.request_class(False), specs, self.affinity_key(plan, parameters)
+            )
+            self.raise_if_failed(outcome)
+            ((row_count,),) = outcome.rows[0].rows
             outcome.storage.close()
-            told = int(told)
-        write = transactions.BufferedWrite(self.bound(plan, parameters, shard), told, plan)
+            row_count = int(row_count)
+        write = transactions.BufferedWrite(
+            self.bound_statement(plan, parameters, shard), row_count, plan
+        )
         self.transaction.buffer_write(write, shard, plan.table)
-        return Answer(f"INSERT 0 {told}" if plan.tag == "INSERT" else f"{plan.tag} {told}")
+        return StatementResult(
+            f"INSERT 0 {row_count}" if plan.tag == "INSERT" else f"{plan.tag} {row_count}"
+        )
 
     async def commit(self):
+        """Send the buffered writes of the transaction block to their leaf and end the block."""
         tx = self.transaction
         if tx.status is transactions.Status.IDLE:
-            return Answer(
+            return StatementResult(
                 "COMMIT",
                 notices=[ErrorFields("WARNING", "25P01", "there is no transaction in progress")],
             )
@@ -599,31 +654,34 @@
                     True,
                 )
                 for tag, write in zip(outcome.rows[0].tags, writes, strict=True):
-                    told = write.row_count
-                    if affected_rows(tag) != told:
-                        raise SqlError("XX000", f"COMMIT says {tag} where {told} rows were told")
+                    row_count = write.row_count
+                    if affected_rows(tag) != row_count:
+                        raise SqlError(
+                            "XX000", f"COMMIT says {tag} where {row_count} rows were told"
+                        )
         except SqlError:
-            self.undo_settings()
+            self.restore_settings()
             raise
-        for name, value in self.local.items():
+        for name, value in self.values_before_set_local.items():
             self.settings[name] = value
-        self.before, self.local = None, {}
-        return Answer("COMMIT")
+        self.settings_at_begin, self.values_before_set_local = None, {}
+        return StatementResult("COMMIT")
 
     def rollback(self):
         if self.transaction.status is transactions.Status.IDLE:
-            return Answer(
+            return StatementResult(
                 "ROLLBACK",
                 notices=[ErrorFields("WARNING", "25P01", "there is no transaction in progress")],
             )
         self.transaction.reset()
-        self.undo_settings()
-        return Answer("ROLLBACK")
+        self.restore_settings()
+        return StatementResult("ROLLBACK")
 
-    def undo_settings(self):
-        if self.before is not None:
-            self.settings = self.before
-        self.before, self.local = None, {}
+    def restore_settings(self):
+        """Restore the settings from before the transaction block."""
+        if self.settings_at_begin is not None:
+            self.settings = self.settings_at_begin
+        self.settings_at_begin, self.values_before_set_local = None, {}
 
     # ---- EXPLAIN ----
 
@@ -631,10 +689,12 @@
         if plan.kind == "local":
             return [f"{plan.tag}: answered by the root itself"]
         shards = plan.shards(self.service.schema, parameters)
-        ranges = ", ".join(self.shown(s) for s in shards[:6]) + (", ..." if len(shards) > 6 else "")
+        ranges = ", ".join(self.format_range(s) for s in shards[:6]) + (
+            ", ..." if len(shards) > 6 else ""
+        )
         lines = [
             f"{plan.tag} over {len(shards)} of {self.service.schema.shards} bin ranges ({ranges})",
-            f"  class: {self.class_for(plan.kind == 'write')}",
+            f"  class: {self.request_class(plan.kind == 'write')}",
             f"  each part: {plan.sql}",
         ]
         if plan.gather is not None:
@@ -659,8 +719,9 @@
         return lines
 
 
-def tag_of(shard):
-    """The comment in front of what is sent: which range is meant, for a leaf that checks and for
-    its logs.
+def range_comment(shard):
+    """Return the comment that precedes a statement and names its bin range.
+
+    A leaf can check it, and it appears in the leaf's logs.
     """
     return f"/*mothnotch range={shard}*/ "
