--- a/mothnotch/standins/__init__.py
+++ b/mothnotch/standins/__init__.py
@@ -1,3 +1,4 @@
-"""Stand-ins for the outside: leaves that hold real tables, clients that misbehave. For tests, demos
-and bad days.
+"""Stand-ins for external systems: leaves with real tables, Consul agents, discovery and clients.
+
+Tests, demos and fault scenarios use them.
 """
--- a/mothnotch/standins/client.py
+++ b/mothnotch/standins/client.py
@@ -1,8 +1,7 @@
-"""A stand-in client: speaks the PostgreSQL wire, asks one thing at a time, and counts what it is
-answered.
+"""A stand-in client that speaks the PostgreSQL wire protocol and runs one statement at a time.
 
-It may leave midway, cancel, or ask again at once; it never trusts that one answer is all that
-comes.
+Callers can disconnect midway, cancel a statement or send the next one at once, and can check that
+the server sends nothing after the end of a reply.
 """
 
 from dataclasses import dataclass, field
@@ -16,7 +15,7 @@
 
 @dataclass(slots=True)
 class Reply:
-    """What came back for one message: rows, tag, error and notices, up to ReadyForQuery."""
+    """The server's reply to one message: everything up to ReadyForQuery."""
 
     rows: list = field(default_factory=list)
     tags: list = field(default_factory=list)
@@ -26,11 +25,11 @@
 
 
 class ConnectionLostError(Exception):
-    """The connection went before the answer was whole."""
+    """The connection was lost before the reply was complete."""
 
 
 class ClientWire(client.ClientConnection):
-    """As the root reads a leaf, but with the notices kept."""
+    """The root's decoder of leaf messages, which here also returns notices."""
 
     IGNORED_TYPES = client.ClientConnection.IGNORED_TYPES - {0x4E}
 
@@ -70,37 +69,39 @@
             self.wire.receive(data)
 
     async def read_reply(self):
-        found = Reply()
+        reply = Reply()
         while True:
             event = await self.next_event()
             kind = type(event)
             if kind is client.DataRow:
-                found.rows.append(event.values)
+                reply.rows.append(event.values)
             elif kind is client.CommandComplete:
-                found.tags.append(event.tag)
+                reply.tags.append(event.tag)
             elif kind is client.ErrorResponse:
-                found.error = event.fields
+                reply.error = event.fields
             elif kind is b.ErrorFields:
-                found.notices.append(event)
+                reply.notices.append(event)
             elif kind is client.BackendKeyData:
                 self.key = event
             elif kind is client.ReadyForQuery:
-                found.status = event.status
-                return found
+                reply.status = event.status
+                return reply
 
     async def query(self, sql, *values):
-        """One statement: simple without values, extended with them (text, types left to the
-        server).
+        """Run one statement and return its reply.
+
+        Without values it uses the simple protocol, otherwise the extended one, with values in text
+        format and their types left to the server.
         """
         if values:
-            shown = tuple(None if v is None else str(v).encode() for v in values)
-            await self.send(client.statement(sql, (), shown) + client.SYNC)
+            encoded = tuple(None if v is None else str(v).encode() for v in values)
+            await self.send(client.statement(sql, (), encoded) + client.SYNC)
         else:
             await self.send(client.query(sql))
         return await self.read_reply()
 
     async def cancel(self):
-        """Asks the server, over a connection of its own, to cancel what runs on this one."""
+        """Cancel the statement that runs on this connection, over a separate connection."""
         stream = await self.network.open(self.address)
         await stream.send_all(client.cancel_request(self.key.pid, self.key.secret))
         with trio.move_on_after(1):
@@ -108,7 +109,7 @@
         close_now(stream)
 
     async def surplus_bytes(self, seconds):
-        """Bytes that come within a time though nothing was asked: there must be none."""
+        """Return the count of bytes that arrive unrequested within the time; 0 is expected."""
         with trio.move_on_after(seconds):
             data = await self.stream.receive_some(1 << 16)
             return len(data)
--- a/mothnotch/standins/platform_settings.py
+++ b/mothnotch/standins/platform_settings.py
@@ -1,12 +1,12 @@
-"""Settings of a small deployment on the platform, for tests and measurements on fakes."""
+"""Settings of a small deployment on the platform, for tests and measurements with stand-ins."""
 
 CELLS = 4
 REACH = 2  # cells that hold each shard
 
 
 def options(**changes):
-    """The settings as a root's configuration states them."""
-    found = {
+    """Return the settings as in a root's configuration, with sections merged with `changes`."""
+    settings = {
         "balancers": 1,
         "me": 0,
         "zone": "a",
@@ -68,5 +68,5 @@
         "overShareWorth": 0.05,
     }
     for name, value in changes.items():
-        found[name] = found[name] | value if isinstance(found.get(name), dict) else value
-    return found
+        settings[name] = settings[name] | value if isinstance(settings.get(name), dict) else value
+    return settings
--- a/mothnotch/standins/store.py
+++ b/mothnotch/standins/store.py
@@ -1,10 +1,9 @@
-"""The tables of a stand-in fleet: one SQLite database in memory for each bin range, shared by its
-holders.
+"""The tables of a stand-in fleet: one in-memory SQLite database for each bin range.
 
-What replicates behind the leaves is not the root's business; sharing stands for it. A write
-transaction runs its statements, notes what they did and undoes them; COMMIT runs them again and
-must see the same, so nothing is locked while a connection waits, and readers see committed rows
-only.
+All leaves that hold a range share its database, in place of replication between them, which the
+root does not see. A write transaction runs its statements, keeps their results and rolls them
+back; COMMIT runs them again and is expected to get the same results. Therefore nothing is locked
+while a connection is idle in a transaction, and readers see committed rows only.
 """
 
 import math
@@ -46,16 +45,21 @@
 
 
 class EngineError(Exception):
+    """An error that a leaf reports to its client, with its SQLSTATE."""
+
     def __init__(self, sqlstate, text):
         super().__init__(text)
         self.sqlstate = sqlstate
 
 
 def to_sqlite(sql):
-    """A statement of PostgreSQL's dialect in SQLite's."""
+    """Translate a statement from PostgreSQL's dialect to SQLite's.
+
+    Return the translated text and, for each selected column, whether it is a boolean.
+    """
     tree = sqlglot.parse_one(sql, read=Dialect)
 
-    def change(node):
+    def convert(node):
         if isinstance(node, exp.Collate):
             return node.this
         if isinstance(node, (exp.Div, exp.Mod)):
@@ -71,26 +75,28 @@
             return node.this
         return node
 
-    tree = tree.transform(change)
+    tree = tree.transform(convert)
     booleans = [
-        isinstance(p.unalias(), (exp.Predicate, exp.Connector, exp.Not, exp.Boolean))
-        for p in getattr(tree, "selects", [])
+        isinstance(column.unalias(), (exp.Predicate, exp.Connector, exp.Not, exp.Boolean))
+        for column in getattr(tree, "selects", [])
     ]
     return re.sub(r"[$@:](\d+)", r"?\1", tree.sql("sqlite")), booleans
 
 
 def pg_div(a, b):
+    """Divide as PostgreSQL does: integers truncate toward zero."""
     if a is None or b is None:
         return None
     if b == 0:
         raise ZeroDivisionError
     if isinstance(a, int) and isinstance(b, int):
-        q = abs(a) // abs(b)
-        return q if (a < 0) == (b < 0) else -q
+        quotient = abs(a) // abs(b)
+        return quotient if (a < 0) == (b < 0) else -quotient
     return a / b
 
 
 def pg_mod(a, b):
+    """Return the remainder as PostgreSQL does: it has the sign of the dividend."""
     if a is None or b is None:
         return None
     if b == 0:
@@ -98,7 +104,8 @@
     return int(math.fmod(a, b)) if isinstance(a, int) and isinstance(b, int) else math.fmod(a, b)
 
 
-def database():
+def create_database():
+    """Create an in-memory database with the empty tables of a range."""
     db = sqlite3.connect(
         ":memory:", isolation_level=None, check_same_thread=False, cached_statements=512
     )
@@ -113,50 +120,57 @@
 
 
 class Store:
-    """All ranges of a fleet. `bounds` as in the schema; the rows are drawn from a seed."""
+    """The databases of all ranges of a fleet.
+
+    `bounds` are the range bounds of the schema; the sample rows are generated from the seed.
+    """
 
     def __init__(self, bounds, seed=1, rows=250):
         self.bounds, self.rng = bounds, random.Random(seed)
-        self.ranges = [database() for _ in bounds[:-1]]
+        self.ranges = [create_database() for _ in bounds[:-1]]
         for shard, db in enumerate(self.ranges):
             low, high = bounds[shard], bounds[shard + 1]
             for _ in range(rows):
                 db.execute("INSERT INTO stock VALUES (?,?,?,?,?)", self.stock_row(low, high))
                 if self.rng.random() < 0.4:
                     db.execute("INSERT INTO orders VALUES (?,?,?,?,?)", self.order_row(low, high))
-        self.texts = {}
-        self.allow_duplicate_keys = False  # planted breach: repeats are not dropped
+        self.translations = {}  # PostgreSQL text -> result of to_sqlite
+        self.allow_duplicate_keys = False  # planted defect: repeated writes are not dropped
 
     def stock_row(self, low, high):
-        r = self.rng
-        date = f"2026-{r.randint(1, 12):02d}-{r.randint(1, 28):02d}" if r.random() < 0.9 else None
-        qty = r.randint(0, 120) if r.random() < 0.95 else None
-        return r.randrange(low, high), r.choice(ITEMS), f"L{r.randint(1, 400):04d}", date, qty
+        rng = self.rng
+        date = (
+            f"2026-{rng.randint(1, 12):02d}-{rng.randint(1, 28):02d}"
+            if rng.random() < 0.9
+            else None
+        )
+        qty = rng.randint(0, 120) if rng.random() < 0.95 else None
+        return rng.randrange(low, high), rng.choice(ITEMS), f"L{rng.randint(1, 400):04d}", date, qty
 
     def order_row(self, low, high):
-        r = self.rng
+        rng = self.rng
         return (
-            r.randrange(low, high),
-            f"A{r.randrange(10**6):06d}",
-            r.choice(AGENCIES),
-            r.choice(ITEMS),
-            r.randint(1, 40),
+            rng.randrange(low, high),
+            f"A{rng.randrange(10**6):06d}",
+            rng.choice(AGENCIES),
+            rng.choice(ITEMS),
+            rng.randint(1, 40),
         )
 
     def translate(self, text):
-        """(SQLite's text, which columns are booleans), remembered by text; at most 2,000 texts."""
-        found = self.texts.get(text)
-        if found is None:
-            if len(self.texts) >= 2000:
-                self.texts.clear()
+        """Return the result of `to_sqlite`, from a cache of at most 2,000 statements."""
+        translation = self.translations.get(text)
+        if translation is None:
+            if len(self.translations) >= 2000:
+                self.translations.clear()
             try:
-                found = self.texts[text] = to_sqlite(text)
+                translation = self.translations[text] = to_sqlite(text)
             except sqlglot.errors.SqlglotError as error:
                 raise EngineError("42601", f"syntax error: {error}") from None
-        return found
+        return translation
 
     def run(self, shard, text, values):
-        """Runs one statement: (column names, rows in text format, rows touched)."""
+        """Run one statement; return (column names, rows in text format, affected row count)."""
         sql, booleans = self.translate(text)
         try:
             cursor = self.ranges[shard].execute(sql, values)
@@ -171,51 +185,51 @@
                 "23505", f"duplicate key value violates unique constraint: {error}"
             ) from None
         except sqlite3.OperationalError as error:
-            what = str(error)
-            if "user-defined function" in what:
+            message = str(error)
+            if "user-defined function" in message:
                 raise EngineError("22012", "division by zero") from None
             raise EngineError(
                 "42703"
-                if "no such column" in what
+                if "no such column" in message
                 else "42P01"
-                if "no such table" in what
+                if "no such table" in message
                 else "42601",
-                what,
+                message,
             ) from None
         except (sqlite3.Error, OverflowError) as error:
             raise EngineError("22000", str(error)) from None
         return [d[0] for d in cursor.description or ()], rows, cursor.rowcount
 
     def run_together(self, shard, statements, commit):
-        """Runs statements together: gives each one's outcome and keeps or undoes them."""
-        db, out = self.ranges[shard], []
+        """Run statements in one transaction, commit or roll it back, and return their results."""
+        db, results = self.ranges[shard], []
         db.execute("BEGIN")
         try:
             for text, values in statements:
                 if self.allow_duplicate_keys and "INTO mothnotch_keys" in text:
                     values = (f"{values[0]}/{self.rng.random()}", *values[1:])
-                out.append(self.run(shard, text, values))
+                results.append(self.run(shard, text, values))
         except EngineError:
             db.execute("ROLLBACK")
             raise
         db.execute("COMMIT" if commit else "ROLLBACK")
-        return out
+        return results
 
     def unsharded_copy(self):
-        """One database with all rows: what an unsharded engine would answer from."""
-        db = database()
-        for part in self.ranges:
+        """Return one database with all rows, as an unsharded engine would hold them."""
+        db = create_database()
+        for range_db in self.ranges:
             for table in TABLES:
-                for row in part.execute(f"SELECT * FROM {table}"):
+                for row in range_db.execute(f"SELECT * FROM {table}"):
                     db.execute(f"INSERT INTO {table} VALUES ({','.join('?' * len(row))})", row)
         return db
 
 
-def to_text_format(value, boolean):
-    """A value in PostgreSQL's text format."""
+def to_text_format(value, is_boolean):
+    """Encode a value in PostgreSQL's text format."""
     if value is None:
         return None
-    if boolean:
+    if is_boolean:
         return b"t" if value else b"f"
     if isinstance(value, float):
         return (
