--- a/mothnotch/standins/consul.py
+++ b/mothnotch/standins/consul.py
@@ -1,9 +1,9 @@
 """A stand-in for Consul: agents in front of one catalogue, with blocking queries, maintenance, TTL
-checks and faults.
+checks and injected faults.
 
-Written from the public HTTP API pages; what it does not know answers 404 or 400. It records every
-answer about a service: whom it told what and when, so that an auditor can judge a root from the
-catalogue's side.
+It follows the public documentation of the HTTP API; requests that it does not support get status
+404, 405 or 400. It records every answer about a service, with its receiver and time, so that the
+audit can derive which endpoint list each root was given.
 """
 
 import copy
@@ -17,16 +17,16 @@
 
 from mothnotch.net import close_now, serve
 
-WAIT_S, WAIT_MOST_S = 300.0, 600.0
-UNITS = {"ns": 1e-9, "us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
-CLAUSE = re.compile(
+DEFAULT_WAIT_S, MAX_WAIT_S = 300.0, 600.0
+UNIT_SECONDS = {"ns": 1e-9, "us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
+FILTER_CLAUSE = re.compile(
     r'\s*(?:"(?P<word>[^"]*)"\s+(?P<op>in|not in)\s+(?P<list>[\w.]+)'
     r'|(?P<field>[\w.-]+)\s*(?P<cmp>==|!=)\s*"?(?P<value>[^"]*?)"?)\s*'
 )
 
 
 class InvalidRequestError(Exception):
-    """A request that is answered with an error."""
+    """A request that is answered with an error status and text."""
 
     def __init__(self, status, text):
         super().__init__(text)
@@ -34,7 +34,7 @@
 
 
 def parse_bool(query, name):
-    """A parameter as Go's ParseBool reads it."""
+    """Parse a query parameter as Go's ParseBool does."""
     text = query.get(name, "")
     if text in ("1", "t", "T", "true", "TRUE", "True"):
         return True
@@ -44,34 +44,38 @@
 
 
 def parse_duration(text):
-    """Seconds of a Go duration; a bare number counts as seconds."""
-    found = re.fullmatch(r"((?:[\d.]+(?:ns|us|ms|s|m|h))+)|([\d.]+)", text)
-    if not found:
+    """Parse a Go duration, or a bare number of seconds, into seconds."""
+    match = re.fullmatch(r"((?:[\d.]+(?:ns|us|ms|s|m|h))+)|([\d.]+)", text)
+    if not match:
         raise InvalidRequestError(400, f"Invalid wait time: {text}")
-    if found[2]:
-        return float(found[2])
-    return sum(float(n) * UNITS[unit] for n, unit in re.findall(r"([\d.]+)(ns|us|ms|s|m|h)", text))
+    if match[2]:
+        return float(match[2])
+    return sum(
+        float(n) * UNIT_SECONDS[unit] for n, unit in re.findall(r"([\d.]+)(ns|us|ms|s|m|h)", text)
+    )
 
 
 @dataclass(slots=True)
 class Faults:
-    """What is wrong with an agent at present."""
+    """Faults that are injected into an agent."""
 
     delay_s: float = 0.0  # before every answer
-    silent: bool = False  # reads, and says nothing
-    status: int = 0  # answers with this instead
-    garbage: str = (
-        ""  # "json": half of a body; "huge": without end; "cut": closes midway; "deep"; "headers"
-    )
-    lag: bool = False  # knows nothing newer than when this began
-    no_leader: bool = False  # stale answers only
-    filtered: bool = False  # its access list shows nothing
+    silent: bool = False  # reads requests and never answers
+    status: int = 0  # answers every request with this error status; 0: none
+    # "json": half of a body; "huge": an endless body; "cut": closes before the end of the body;
+    # "deep": JSON nested too deeply; "headers": an index that is not a number
+    garbage: str = ""
+    lag: bool = False  # serves the catalogue as it was when the fault began
+    no_leader: bool = False  # answers stale reads only
+    filtered: bool = False  # its ACL hides all services and nodes
 
 
 @dataclass(slots=True, frozen=True)
 class ServiceAnswer:
-    """One answer about a service. `states`: node/id -> "up" or "draining" as marked; critical
-    checks do not count.
+    """The record of one answer about a service.
+
+    `states` maps node/id to "up" or "draining". Critical checks do not count, except maintenance.
+    `who` is the user agent of the client; `life` counts how often the servers lost their state.
     """
 
     at: float
@@ -86,22 +90,22 @@
 
 @dataclass(slots=True)
 class Catalogue:
-    """What the servers of the stand-in agree on."""
+    """The state that all servers of the stand-in share."""
 
     index: int = 10
     life: int = 0
     nodes: dict = field(default_factory=dict)  # node -> {"Address", "Meta"}
-    services: dict = field(default_factory=dict)  # (node, id) -> the service's fields
-    checks: dict = field(default_factory=dict)  # (node, check id) -> the check's fields
-    of_service: dict = field(default_factory=dict)  # service name -> index of its last change
+    services: dict = field(default_factory=dict)  # (node, service id) -> its fields
+    checks: dict = field(default_factory=dict)  # (node, check id) -> its fields
+    of_service: dict = field(default_factory=dict)  # service name -> index of the last change
     changed: object = field(default_factory=trio.Event)
-    ttl: dict = field(
-        default_factory=dict
-    )  # (node, check id) -> [ttl, expires, reaped after, critical since]
+    # (node, check id) -> [ttl, expiry time, seconds critical until deregistration, critical since]
+    ttl: dict = field(default_factory=dict)
 
     # ---- changes ----
 
     def bump(self, *names):
+        """Advance the index of the catalogue and of these services, and wake blocking queries."""
         self.index += 1
         for name in names:
             self.of_service[name] = self.index
@@ -109,13 +113,14 @@
         self.changed = trio.Event()
         return self.index
 
-    def on_node(self, node):
+    def service_names(self, node):
+        """Return the names of the services that are registered on a node."""
         return [s["Service"] for (n, _), s in self.services.items() if n == node]
 
     def register_node(self, node, address, meta=None):
         before = self.nodes.get(node)
         if before is None or before["Address"] != address:
-            index = self.bump(*self.on_node(node))
+            index = self.bump(*self.service_names(node))
             self.nodes[node] = {
                 "Node": node,
                 "Address": address,
@@ -126,7 +131,7 @@
             }
 
     def register(self, node, name, id=None, address="", port=0, tags=(), meta=None, weights=None):
-        """Registers a service; the same again changes nothing."""
+        """Register a service; an identical registration changes nothing."""
         if node not in self.nodes:
             self.register_node(node, address or "127.0.0.1")
         id = id or name
@@ -161,7 +166,7 @@
         return True
 
     def deregister_node(self, node):
-        names = self.on_node(node)
+        names = self.service_names(node)
         for key in [k for k in self.services if k[0] == node]:
             del self.services[key]
         for key in [k for k in self.checks if k[0] == node]:
@@ -171,12 +176,12 @@
             self.bump(*names)
 
     def set_check(self, node, check, status, name="", service_id="", output=""):
-        """Sets a check."""
+        """Set the status of a check of a node or of a service; the same status changes nothing."""
         before = self.checks.get((node, check))
         service = self.services.get((node, service_id), {}).get("Service", "") if service_id else ""
         if before is not None and (before["Status"], before["ServiceID"]) == (status, service_id):
             return
-        index = self.bump(*([service] if service_id else self.on_node(node)))
+        index = self.bump(*([service] if service_id else self.service_names(node)))
         self.checks[node, check] = {
             "Node": node,
             "CheckID": check,
@@ -194,7 +199,7 @@
         found = self.checks.pop((node, check), None)
         self.ttl.pop((node, check), None)
         if found:
-            self.bump(*([found["ServiceName"]] if found["ServiceID"] else self.on_node(node)))
+            self.bump(*([found["ServiceName"]] if found["ServiceID"] else self.service_names(node)))
 
     def maintenance(self, node, on, id="", reason=""):
         check = f"_service_maintenance:{id}" if id else "_node_maintenance"
@@ -204,7 +209,7 @@
             self.remove_check(node, check)
 
     def wipe(self):
-        """The servers lost their state: another life, whose index begins low."""
+        """Lose all state, as after a restore of the servers: the index starts again at a low value."""
         self.life, self.index = self.life + 1, 3
         for table in (self.nodes, self.services, self.checks, self.of_service, self.ttl):
             table.clear()
@@ -212,72 +217,81 @@
         self.changed = trio.Event()
 
     async def run(self):
-        """Lets TTL checks run out."""
+        """Expire TTL checks, and deregister services that stay critical for too long."""
         while True:
             await trio.sleep(0.25)
             now = trio.current_time()
             for (node, check), timer in list(self.ttl.items()):
-                ttl, expires, reaped, since = timer
-                if since is None and now > expires:
+                ttl, expires, deregister_after, critical_since = timer
+                if critical_since is None and now > expires:
                     timer[3] = now
                     found = self.checks[node, check]
                     self.set_check(
                         node, check, "critical", found["Name"], found["ServiceID"], "TTL expired"
                     )
-                elif since is not None and reaped and now > since + reaped:
+                elif (
+                    critical_since is not None
+                    and deregister_after
+                    and now > critical_since + deregister_after
+                ):
                     self.deregister(node, self.checks[node, check]["ServiceID"])
 
     # ---- answers ----
 
     def service_index(self, name):
+        """Return the index of a service's last change; of the whole catalogue without a name."""
         return self.of_service.get(
             name, self.index if not name else max(1, min(self.index, 1 + self.life))
         )
 
     def entries(self, name):
-        out = []
-        for (node, id), s in sorted(self.services.items()):
-            if s["Service"] == name:
+        """Return a service's instances in the form of a health answer."""
+        entries = []
+        for (node, id), service in sorted(self.services.items()):
+            if service["Service"] == name:
                 checks = [
                     c
                     for (n, _), c in sorted(self.checks.items())
                     if n == node and c["ServiceID"] in ("", id)
                 ]
-                out.append({"Node": self.nodes[node], "Service": s, "Checks": checks})
-        return out
+                entries.append({"Node": self.nodes[node], "Service": service, "Checks": checks})
+        return entries
 
 
 def is_draining(entry):
-    """Whether an entry of a health answer is marked as departing, by any of the ways the demo's
-    settings name.
+    """Return whether an entry of a health answer is marked as draining.
+
+    All the marks count that the settings of the demo name: maintenance, tag, metadata and weight.
     """
-    s = entry["Service"]
-    worst = any(c["Status"] == "warning" for c in entry["Checks"])
+    service = entry["Service"]
+    has_warning = any(c["Status"] == "warning" for c in entry["Checks"])
     return (
         any("_maintenance" in c["CheckID"] for c in entry["Checks"])
-        or "draining" in s["Tags"]
-        or s["Meta"].get("state") == "draining"
-        or s["Weights"]["Warning" if worst else "Passing"] <= 0
+        or "draining" in service["Tags"]
+        or service["Meta"].get("state") == "draining"
+        or service["Weights"]["Warning" if has_warning else "Passing"] <= 0
     )
 
 
 class ConsulAgent:
-    """One agent. `record(told)` hears every answer about a service; `token`: what reads must carry,
-    if anything.
+    """One Consul agent.
+
+    It passes each answer about a service to `record`. `token`, if any, is the ACL token that
+    requests must carry; `resync_s` is the period of anti-entropy.
     """
 
     def __init__(
-        self, catalogue, network, address, node, record=lambda told: None, token="", resync_s=None
+        self, catalogue, network, address, node, record=lambda answer: None, token="", resync_s=None
     ):
         self.catalogue, self.network, self.address, self.node = catalogue, network, address, node
         self.record, self.token, self.resync_s = record, token, resync_s
-        self.faults, self.frozen, self.up, self.scope = Faults(), None, False, None
-        self.local = {}  # service id -> registration of this agent's own, for anti-entropy
+        self.faults, self.snapshot, self.up, self.scope = Faults(), None, False, None
+        self.local = {}  # service id -> this agent's own registration, for anti-entropy
         self.counts = {"requests": 0, "answers": 0, "bytes": 0}
-        self.requests_by = {}  # who -> requests
+        self.requests_by = {}  # user agent -> number of requests
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """One life of the agent's process, until `stop`."""
+        """Run the agent's process until `stop`."""
         with trio.CancelScope() as self.scope:
             listeners = await self.network.listen(self.address)
             self.address, self.up = self.network.bound_address(listeners[0]), True
@@ -287,7 +301,7 @@
                 async with trio.open_nursery() as nursery:
                     if self.resync_s:
                         nursery.start_soon(self.resync)
-                    nursery.start_soon(serve, listeners, self.client, nursery)
+                    nursery.start_soon(serve, listeners, self.serve_client, nursery)
             finally:
                 self.up = False
                 with trio.CancelScope(shield=True):
@@ -298,14 +312,14 @@
         self.scope.cancel()
 
     def set_lag(self, on):
-        """Whether it is cut off from its servers: it then knows nothing newer than now."""
-        self.frozen = (
+        """Set whether the agent is cut off from its servers and serves a snapshot taken now."""
+        self.snapshot = (
             copy.deepcopy(
                 {
                     k: v
                     for k, v in (
-                        (f, getattr(self.catalogue, f))
-                        for f in ("index", "life", "nodes", "services", "checks", "of_service")
+                        (name, getattr(self.catalogue, name))
+                        for name in ("index", "life", "nodes", "services", "checks", "of_service")
                     )
                 }
             )
@@ -316,20 +330,21 @@
 
     @property
     def known(self):
-        return Catalogue(**self.frozen) if self.frozen else self.catalogue
+        """The catalogue as this agent sees it."""
+        return Catalogue(**self.snapshot) if self.snapshot else self.catalogue
 
     async def resync(self):
-        """Anti-entropy: what this agent was told itself comes back into a catalogue that lost it."""
+        """Restore this agent's own registrations in a catalogue that lost them (anti-entropy)."""
         while True:
             await trio.sleep(self.resync_s)
-            if not self.frozen and not self.faults.silent:
+            if not self.snapshot and not self.faults.silent:
                 for id, args in list(self.local.items()):
                     self.catalogue.register(self.node, **args)
                     self.catalogue.set_check(self.node, f"service:{id}", "passing", service_id=id)
 
     # ---- HTTP ----
 
-    async def client(self, stream):
+    async def serve_client(self, stream):
         http = h11.Connection(h11.SERVER)
         try:
             while True:
@@ -358,10 +373,14 @@
             close_now(stream)
 
     async def respond(self, stream, http, request, body):
-        """Answers one request; false if the connection is to be closed."""
+        """Answer one request; return False if the connection must be closed."""
         headers = {k.decode(): v.decode("latin-1") for k, v in request.headers}
         parts = urlsplit(request.target.decode())
-        query, told, extra = dict(parse_qsl(parts.query, keep_blank_values=True)), None, {}
+        query, answer, extra_headers = (
+            dict(parse_qsl(parts.query, keep_blank_values=True)),
+            None,
+            {},
+        )
         self.counts["requests"] += 1
         who = headers.get("user-agent", "")
         self.requests_by[who] = self.requests_by.get(who, 0) + 1
@@ -374,7 +393,7 @@
                 raise InvalidRequestError(
                     403, "Permission denied: token with AccessorID '00000000' lacks permission"
                 )
-            value, extra, told = await self.route(
+            value, extra_headers, answer = await self.route(
                 request.method.decode(), unquote(parts.path), query, body, who
             )
             status = 200
@@ -382,19 +401,19 @@
         except InvalidRequestError as error:
             status, out = error.status, error.text.encode()
             if status == 429:
-                extra = {"Retry-After": "1"}
+                extra_headers = {"Retry-After": "1"}
         if self.faults.delay_s:
             await trio.sleep(self.faults.delay_s)
-        return await self.send(stream, http, status, out, extra, told)
+        return await self.send(stream, http, status, out, extra_headers, answer)
 
-    async def send(self, stream, http, status, out, extra, told):
+    async def send(self, stream, http, status, out, extra_headers, answer):
         garbage = self.faults.garbage if status == 200 else ""
         if garbage == "json":
             out = out[: len(out) // 2]
         elif garbage == "deep":
             out = b"[" * 100_000
         elif garbage == "headers":
-            extra = {**extra, "X-Consul-Index": "many"}
+            extra_headers = {**extra_headers, "X-Consul-Index": "many"}
         length = 1 << 40 if garbage == "huge" else len(out) + (10 if garbage == "cut" else 0)
         head = http.send(
             h11.Response(
@@ -402,7 +421,7 @@
                 headers=[
                     ("Content-Type", "application/json"),
                     ("Content-Length", str(length)),
-                    *extra.items(),
+                    *extra_headers.items(),
                 ],
             )
         )
@@ -417,14 +436,17 @@
         await stream.send_all(data + http.send(h11.EndOfMessage()))
         self.counts["answers"] += 1
         self.counts["bytes"] += len(out)
-        if told is not None and not garbage:
-            self.record(ServiceAnswer(trio.current_time(), self.node, *told))
+        if answer is not None and not garbage:
+            self.record(ServiceAnswer(trio.current_time(), self.node, *answer))
         return True
 
     # ---- routes ----
 
     async def route(self, method, path, query, body, who):
-        """(value, headers, told) of a request; Bad for an error."""
+        """Return a request's (value, headers, fields of its ServiceAnswer or None).
+
+        The handler is the method `METHOD_WORD_WORD` for the method and the path after /v1.
+        """
         words = path.strip("/").split("/")
         if words[0] != "v1" or len(words) < 3:
             raise InvalidRequestError(404, "Invalid URL path")
@@ -435,37 +457,39 @@
             )
         return await handler(words[3:], query, body, who)
 
-    async def blocked(self, name, query):
-        """Waits as a blocking query does; the headers of its answer."""
-        if "consistent" in query and (self.frozen or self.faults.no_leader):
+    async def wait_for_change(self, name, query):
+        """Wait as a blocking query does, and return the headers of its answer."""
+        if "consistent" in query and (self.snapshot or self.faults.no_leader):
             raise InvalidRequestError(500, "No cluster leader")
-        if "stale" not in query and (self.frozen or self.faults.no_leader):
+        if "stale" not in query and (self.snapshot or self.faults.no_leader):
             raise InvalidRequestError(500, "No cluster leader")
         try:
             index = int(query.get("index", "0"))
         except ValueError:
             raise InvalidRequestError(400, f"Invalid index: {query['index']}") from None
         if index > 0:
-            wait = min(WAIT_MOST_S, parse_duration(query["wait"]) if query.get("wait") else WAIT_S)
-            life = self.known.life  # a restored store abandons the queries that wait on the old one
+            wait = min(
+                MAX_WAIT_S, parse_duration(query["wait"]) if query.get("wait") else DEFAULT_WAIT_S
+            )
+            life = self.known.life  # a blocking query ends when the servers lose their state
             with trio.move_on_after(wait * 17 / 16):
                 while self.known.service_index(name) <= index and self.known.life == life:
-                    if self.frozen:
+                    if self.snapshot:
                         await trio.sleep(0.05)
                     else:
                         await self.catalogue.changed.wait()
-        lags = bool(self.frozen or self.faults.no_leader)
+        is_lagging = bool(self.snapshot or self.faults.no_leader)
         headers = {
             "X-Consul-Index": str(self.known.service_index(name)),
-            "X-Consul-KnownLeader": str(not lags).lower(),
-            "X-Consul-LastContact": "60000" if lags else "0",
+            "X-Consul-KnownLeader": str(not is_lagging).lower(),
+            "X-Consul-LastContact": "60000" if is_lagging else "0",
         }
         if self.faults.filtered:
             headers["X-Consul-Results-Filtered-By-ACLs"] = "true"
         return headers
 
     async def get_health_service(self, words, query, body, who):
-        headers = await self.blocked(words[0], query)
+        headers = await self.wait_for_change(words[0], query)
         known = self.known
         entries = [] if self.faults.filtered else copy.deepcopy(known.entries(words[0]))
         if "passing" in query:
@@ -477,7 +501,7 @@
             f"{e['Node']['Node']}/{e['Service']['ID']}": "draining" if is_draining(e) else "up"
             for e in entries
         }
-        told = (
+        answer = (
             who,
             known.life,
             int(headers["X-Consul-Index"]),
@@ -485,10 +509,10 @@
             self.faults.filtered,
             states,
         )
-        return entries, headers, told
+        return entries, headers, answer
 
     async def get_health_node(self, words, query, body, who):
-        headers = await self.blocked("", query)
+        headers = await self.wait_for_change("", query)
         return (
             [c for (n, _), c in sorted(self.known.checks.items()) if n == words[0]],
             headers,
@@ -496,7 +520,7 @@
         )
 
     async def get_health_checks(self, words, query, body, who):
-        headers = await self.blocked(words[0], query)
+        headers = await self.wait_for_change(words[0], query)
         return (
             [c for _, c in sorted(self.known.checks.items()) if c["ServiceName"] == words[0]],
             headers,
@@ -504,7 +528,7 @@
         )
 
     async def get_health_state(self, words, query, body, who):
-        headers = await self.blocked("", query)
+        headers = await self.wait_for_change("", query)
         return (
             [c for _, c in sorted(self.known.checks.items()) if words[0] in ("any", c["Status"])],
             headers,
@@ -512,15 +536,15 @@
         )
 
     async def get_catalog_services(self, words, query, body, who):
-        headers = await self.blocked("", query)
-        out = {}
+        headers = await self.wait_for_change("", query)
+        tags = {}
         for s in self.known.services.values():
-            out[s["Service"]] = sorted({*out.get(s["Service"], ()), *s["Tags"]})
-        return {} if self.faults.filtered else out, headers, None
+            tags[s["Service"]] = sorted({*tags.get(s["Service"], ()), *s["Tags"]})
+        return {} if self.faults.filtered else tags, headers, None
 
     async def get_catalog_service(self, words, query, body, who):
-        headers = await self.blocked(words[0], query)
-        out = [
+        headers = await self.wait_for_change(words[0], query)
+        instances = [
             {
                 "Node": e["Node"]["Node"],
                 "Address": e["Node"]["Address"],
@@ -536,17 +560,17 @@
             for e in self.known.entries(words[0])
         ]
         return (
-            apply_filter([] if self.faults.filtered else out, query.get("filter", "")),
+            apply_filter([] if self.faults.filtered else instances, query.get("filter", "")),
             headers,
             None,
         )
 
     async def get_catalog_nodes(self, words, query, body, who):
-        headers = await self.blocked("", query)
+        headers = await self.wait_for_change("", query)
         return [n for _, n in sorted(self.known.nodes.items())], headers, None
 
     async def get_catalog_node(self, words, query, body, who):
-        headers = await self.blocked("", query)
+        headers = await self.wait_for_change("", query)
         node = self.known.nodes.get(words[0])
         services = {id: s for (n, id), s in self.known.services.items() if n == words[0]}
         return node and {"Node": node, "Services": services}, headers, None
@@ -555,17 +579,17 @@
         return ["dc1"], {}, None
 
     async def put_catalog_register(self, words, query, body, who):
-        given = parse_object(body)
-        if not given.get("Node") or not given.get("Address"):
+        fields = parse_object(body)
+        if not fields.get("Node") or not fields.get("Address"):
             raise InvalidRequestError(400, "Must provide node and address")
-        self.catalogue.register_node(given["Node"], given["Address"], given.get("NodeMeta"))
+        self.catalogue.register_node(fields["Node"], fields["Address"], fields.get("NodeMeta"))
         s, checks = (
-            given.get("Service"),
-            given.get("Checks") or ([given["Check"]] if given.get("Check") else []),
+            fields.get("Service"),
+            fields.get("Checks") or ([fields["Check"]] if fields.get("Check") else []),
         )
         if s:
             self.catalogue.register(
-                given["Node"],
+                fields["Node"],
                 s["Service"],
                 s.get("ID"),
                 s.get("Address") or "",
@@ -576,7 +600,7 @@
             )
         for c in checks:
             self.catalogue.set_check(
-                given["Node"],
+                fields["Node"],
                 c.get("CheckID") or c["Name"],
                 c["Status"],
                 c.get("Name", ""),
@@ -585,13 +609,13 @@
         return True, {}, None
 
     async def put_catalog_deregister(self, words, query, body, who):
-        given = parse_object(body)
-        if given.get("ServiceID"):
-            self.catalogue.deregister(given["Node"], given["ServiceID"])
-        elif given.get("CheckID"):
-            self.catalogue.remove_check(given["Node"], given["CheckID"])
+        fields = parse_object(body)
+        if fields.get("ServiceID"):
+            self.catalogue.deregister(fields["Node"], fields["ServiceID"])
+        elif fields.get("CheckID"):
+            self.catalogue.remove_check(fields["Node"], fields["CheckID"])
         else:
-            self.catalogue.deregister_node(given["Node"])
+            self.catalogue.deregister_node(fields["Node"])
         return True, {}, None
 
     async def get_status_leader(self, words, query, body, who):
@@ -637,23 +661,23 @@
             raise InvalidRequestError(404, "Invalid URL path")
         return None, {}, None
 
-    def register(self, given):
-        if not given.get("Name"):
+    def register(self, fields):
+        if not fields.get("Name"):
             raise InvalidRequestError(400, "Missing service name")
-        id = given.get("ID") or given["Name"]
+        id = fields.get("ID") or fields["Name"]
         args = {
-            "name": given["Name"],
+            "name": fields["Name"],
             "id": id,
-            "address": given.get("Address") or "",
-            "port": given.get("Port") or 0,
-            "tags": given.get("Tags") or (),
-            "meta": given.get("Meta"),
-            "weights": given.get("Weights"),
+            "address": fields.get("Address") or "",
+            "port": fields.get("Port") or 0,
+            "tags": fields.get("Tags") or (),
+            "meta": fields.get("Meta"),
+            "weights": fields.get("Weights"),
         }
         self.local[id] = args
         self.catalogue.register(self.node, **args)
         for n, check in enumerate(
-            given.get("Checks") or ([given["Check"]] if given.get("Check") else [])
+            fields.get("Checks") or ([fields["Check"]] if fields.get("Check") else [])
         ):
             check_id = check.get("CheckID") or (
                 f"service:{id}" if n == 0 else f"service:{id}:{n + 1}"
@@ -662,14 +686,14 @@
                 self.node, check_id, check.get("Status") or "critical", check.get("Name", ""), id
             )
             if check.get("TTL"):
-                ttl, reaped = (
+                ttl, deregister_after = (
                     parse_duration(check["TTL"]),
                     parse_duration(check.get("DeregisterCriticalServiceAfter") or "0"),
                 )
                 self.catalogue.ttl[self.node, check_id] = [
                     ttl,
                     trio.current_time() + ttl,
-                    reaped,
+                    deregister_after,
                     None,
                 ]
 
@@ -680,29 +704,29 @@
         return None, {}, None
 
     async def put_agent_check(self, words, query, body, who):
-        what, check = words[0], words[1] if len(words) > 1 else ""
-        if what == "register":
-            given = parse_object(body)
-            check = given.get("ID") or given.get("CheckID") or given["Name"]
+        action, check = words[0], words[1] if len(words) > 1 else ""
+        if action == "register":
+            fields = parse_object(body)
+            check = fields.get("ID") or fields.get("CheckID") or fields["Name"]
             self.catalogue.set_check(
                 self.node,
                 check,
-                given.get("Status") or "critical",
-                given["Name"],
-                given.get("ServiceID") or "",
+                fields.get("Status") or "critical",
+                fields["Name"],
+                fields.get("ServiceID") or "",
             )
-            if given.get("TTL"):
-                ttl = parse_duration(given["TTL"])
+            if fields.get("TTL"):
+                ttl = parse_duration(fields["TTL"])
                 self.catalogue.ttl[self.node, check] = [ttl, trio.current_time() + ttl, 0, None]
             return None, {}, None
         found = self.catalogue.checks.get((self.node, check))
         if found is None:
             raise InvalidRequestError(404, f'Unknown check ID "{check}"')
-        if what == "deregister":
+        if action == "deregister":
             self.catalogue.remove_check(self.node, check)
             return None, {}, None
         status = {"pass": "passing", "warn": "warning", "fail": "critical"}.get(
-            what
+            action
         ) or parse_object(body).get("Status")
         if status not in ("passing", "warning", "critical"):
             raise InvalidRequestError(400, f"Invalid check status: {status!r}")
@@ -716,7 +740,7 @@
         return None, {}, None
 
 
-KEYS = {
+CANONICAL_KEYS = {
     name.lower(): name
     for name in (
         "Name",
@@ -743,54 +767,56 @@
 }
 
 
-def canonical(value, free=False):
-    """Names as the API writes them: Consul reads them in any case. Within a meta they are the
-    user's own.
+def canonical(value, keep_keys=False):
+    """Return a JSON value with its keys in the spelling of the API, since Consul ignores their case.
+
+    Keys of service and node metadata stay as they are.
     """
     if isinstance(value, list):
         return [canonical(v) for v in value]
-    if not isinstance(value, dict) or free:
+    if not isinstance(value, dict) or keep_keys:
         return value
     out = {}
     for key, v in value.items():
-        name = KEYS.get(key.lower(), key)
+        name = CANONICAL_KEYS.get(key.lower(), key)
         out[name] = canonical(v, name in ("Meta", "NodeMeta"))
     return out
 
 
 def parse_object(body):
+    """Parse a request body that must be a JSON object."""
     try:
-        found = canonical(json.loads(body or b"{}"))
+        value = canonical(json.loads(body or b"{}"))
     except (ValueError, RecursionError):
         raise InvalidRequestError(400, "Request decode failed: invalid JSON") from None
-    if not isinstance(found, dict):
+    if not isinstance(value, dict):
         raise InvalidRequestError(400, "Request decode failed: expected an object")
-    return found
+    return value
 
 
 def apply_filter(entries, expression):
-    """Entries that a filter lets through: comparisons joined by `and`, of the API's filter
-    language.
+    """Return the entries that match a filter: comparisons of the API's filter language, joined by
+    `and`.
     """
     if not expression:
         return entries
     clauses = []
     for text in expression.split(" and "):
-        found = CLAUSE.fullmatch(text)
-        if not found:
+        clause = FILTER_CLAUSE.fullmatch(text)
+        if not clause:
             raise InvalidRequestError(
                 400, f"Failed to create boolean expression evaluator: {text!r}"
             )
-        clauses.append(found)
+        clauses.append(clause)
 
-    def value(entry, path):
+    def field_value(entry, path):
         for word in path.split("."):
             entry = entry.get(word) if isinstance(entry, dict) else None
         return entry
 
-    def passes(entry, c):
+    def matches(entry, c):
         if c["list"]:
-            return (c["word"] in (value(entry, c["list"]) or ())) == (c["op"] == "in")
-        return (str(value(entry, c["field"])) == c["value"]) == (c["cmp"] == "==")
+            return (c["word"] in (field_value(entry, c["list"]) or ())) == (c["op"] == "in")
+        return (str(field_value(entry, c["field"])) == c["value"]) == (c["cmp"] == "==")
 
-    return [e for e in entries if all(passes(e, c) for c in clauses)]
+    return [e for e in entries if all(matches(e, c) for c in clauses)]
