--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -374,7 +374,7 @@
         """
         rng = self.random
         if query.class_name == "stock-search":
-            query.shards = tuple(range(self.schema.shards))
+            query.shards = tuple(range(self.schema.shard_count))
             query.expected = {
                 s: self.range_values(s, "SELECT count(*), coalesce(sum(qty), 0) FROM stock")
                 for s in query.shards
@@ -384,9 +384,9 @@
             bin = 7 if self.is_key_hot else rng.randrange(demo.BIN_COUNT)
             query.shards = (self.schema.shard_of(bin),)
             return HOLD, (bin, query.id)
-        first = 0 if self.is_key_hot else rng.randrange(self.schema.shards - 3)
+        first = 0 if self.is_key_hot else rng.randrange(self.schema.shard_count - 3)
         count = rng.randint(1, 4)
-        query.shards = tuple(range(first, min(self.schema.shards, first + count)))
+        query.shards = tuple(range(first, min(self.schema.shard_count, first + count)))
         query.expected = {
             s: self.range_values(s, "SELECT count(*), coalesce(sum(qty), 0) FROM orders")
             for s in query.shards
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -693,7 +693,8 @@
             ", ..." if len(shards) > 6 else ""
         )
         lines = [
-            f"{plan.tag} over {len(shards)} of {self.service.schema.shards} bin ranges ({ranges})",
+            f"{plan.tag} over {len(shards)} of {self.service.schema.shard_count} bin ranges "
+            f"({ranges})",
             f"  class: {self.request_class(plan.kind == 'write')}",
             f"  each part: {plan.sql}",
         ]
--- a/mothnotch/sql/lift.py
+++ b/mothnotch/sql/lift.py
@@ -61,14 +61,14 @@
     """
     if len(text) > MAX_TEXT_CHARS or "$" in text or "\\" in text:
         return None
-    out, numbers, oids, values = [], {}, [], []
+    pieces, numbers, oids, values = [], {}, [], []
     before, after_by, first = "", False, True
     for token in TOKEN.finditer(text):
         kind, raw = token.lastgroup, token[0]
         if kind == "comment" or kind == "dollar":
             return None
         if kind == "space":
-            out.append(" ")
+            pieces.append(" ")
             continue
         if first:
             if kind != "word" or raw.lower() not in FIRST_WORDS:
@@ -90,15 +90,15 @@
                 oids.append(oid)
                 values.append(value)
                 numbers[raw] = len(values)
-            out.append(f"${numbers[raw]}")
+            pieces.append(f"${numbers[raw]}")
         else:
-            out.append(raw)
+            pieces.append(raw)
         # A literal after an operator or a parenthesis is a value; after an unlisted word, a quoted
         # name or another literal it may not be.
         before = word or (
             "name" if kind in ("quoted", "string", "number") else "::" if raw == "::" else ""
         )
-    return ("".join(out), tuple(oids), tuple(values)) if values else None
+    return ("".join(pieces), tuple(oids), tuple(values)) if values else None
 
 
 def literal_value(kind, raw):
--- a/mothnotch/sql/local.py
+++ b/mothnotch/sql/local.py
@@ -10,7 +10,7 @@
 from mothnotch.pgwire import types as t
 from mothnotch.sql.errors import SqlError, unsupported
 from mothnotch.sql.evaluate import Evaluator
-from mothnotch.sql.typer import Scope, Typer, check, folded_name
+from mothnotch.sql.typer import Scope, Typer, check_properties, folded_name
 
 SERVER_VERSION = "15.0"
 VERSION = f"PostgreSQL {SERVER_VERSION} (mothnotch: SQL over shards)"
@@ -377,7 +377,7 @@
     """Plan a SELECT without FROM."""
     from mothnotch.sql.plan import Plan, output_name, resolved_type
 
-    check(tree, "expressions", "limit")
+    check_properties(tree, "expressions", "limit")
     typer = LocalTyper(Scope(declared))
     nodes, columns = [], []
     for node in tree.expressions:
--- a/mothnotch/sql/plan.py
+++ b/mothnotch/sql/plan.py
@@ -24,7 +24,7 @@
     Scope,
     Typer,
     cast_type,
-    check,
+    check_properties,
     construct_name,
     folded_name,
     parameter_number,
@@ -141,7 +141,7 @@
         """
         if self.inserted_shard_values:
             return [self._insert_shard(schema, parameters)]
-        shards = set(range(schema.shards))
+        shards = set(range(schema.shard_count))
         for op, operands in self.conditions:
             values = [operand.bound_value(parameters) for operand in operands]
             if op == "in":
@@ -403,7 +403,7 @@
             raise unsupported(
                 construct_name(node) if not isinstance(node, exp.Values) else "VALUES in FROM"
             )
-        check(node, "this", "alias", "db")
+        check_properties(node, "this", "alias", "db")
         if not isinstance(node.this, exp.Identifier):
             raise unsupported(construct_name(node.this))
         if node.args.get("db") is not None and folded_name(node.args["db"]) != "public":
@@ -415,7 +415,7 @@
         node.set("db", None)
         table, alias = self.schema.table(folded_name(node.this)), node.args.get("alias")
         if alias is not None:
-            check(alias, "this")
+            check_properties(alias, "this")
         name = folded_name(alias.this) if alias is not None else table.name
         if name in self.scope.tables:
             raise SqlError("42712", f'table name "{name}" specified more than once')
@@ -505,7 +505,7 @@
         out = []
         for node in expressions:
             if isinstance(node, exp.Star):
-                check(node)
+                check_properties(node)
                 out += [(column, column.name) for column in self.all_columns()]
             elif isinstance(node, exp.Column) and isinstance(node.this, exp.Star):
                 alias = folded_name(node.args["table"])
@@ -515,7 +515,7 @@
                     (exp.column(name, alias), name) for name in self.scope.tables[alias].columns
                 ]
             elif isinstance(node, exp.Alias):
-                check(node, "this", "alias")
+                check_properties(node, "this", "alias")
                 out.append((node.this, folded_name(node.args["alias"])))
             else:
                 out.append((node, output_name(node)))
@@ -562,7 +562,7 @@
     """Plans a SELECT."""
 
     def plan(self, tree):
-        check(
+        check_properties(
             tree,
             "expressions",
             "from_",
@@ -575,7 +575,7 @@
             "offset",
             "distinct",
         )
-        check(tree.args["from_"], "this")
+        check_properties(tree.args["from_"], "this")
         base = self.add_table(tree.args["from_"].this)
         equalities = self.add_joins(tree)
         where = tree.args.get("where")
@@ -588,7 +588,7 @@
             raise unsupported("an empty select list", "name a column")
         distinct = tree.args.get("distinct")
         if distinct is not None:
-            check(distinct)
+            check_properties(distinct)
         order = self.sort_items(tree.args.get("order"), outputs)
         group = tree.args.get("group")
         having = tree.args.get("having")
@@ -654,7 +654,7 @@
                 and side != "LEFT"
             ):
                 raise unsupported(" ".join(word for word in (side, kind, "JOIN") if word))
-            check(join, "this", "side", "kind", "on", "using")
+            check_properties(join, "this", "side", "kind", "on", "using")
             earlier_tables = list(self.scope.tables)
             alias = self.add_table(join.this)
             if side == "":
@@ -738,7 +738,7 @@
         """Return [(expression, Ordered)] with names and positions of output columns resolved."""
         items = []
         for item in order.expressions if order is not None else ():
-            check(item, "this", "desc", "nulls_first")
+            check_properties(item, "this", "desc", "nulls_first")
             node = item.this
             if isinstance(node, exp.Literal) and not node.is_string:
                 if not node.this.isdigit() or not 1 <= int(node.this) <= len(outputs):
@@ -770,14 +770,14 @@
         if node is None:
             return None
         if isinstance(node, exp.Fetch):
-            check(node, "direction", "count", "limit_options")
+            check_properties(node, "direction", "count", "limit_options")
             if node.args["limit_options"].args.get("with_ties") or node.args[
                 "limit_options"
             ].args.get("percent"):
                 raise unsupported("FETCH ... WITH TIES or PERCENT")
             value = node.args.get("count") or exp.Literal.number(1)
         else:
-            check(node, "expression")
+            check_properties(node, "expression")
             value = node.expression
         if isinstance(value, (exp.Null, exp.Var)) and value.sql().upper() in ("NULL", "ALL"):
             return None
@@ -844,7 +844,7 @@
         """
         keys = []
         if group is not None:
-            check(group, "expressions")
+            check_properties(group, "expressions")
             keys = [self.group_key(node, outputs) for node in group.expressions]
         key_types = [resolved_type(self.typer.type(node)) for node in keys]
         key_slots = {node.sql("postgres"): ("g", n) for n, node in enumerate(keys)}
@@ -995,7 +995,7 @@
         returning = tree.args.get("returning")
         if returning is None:
             return [], None
-        check(returning, "expressions")
+        check_properties(returning, "expressions")
         nodes = [(self.qualify(node), name) for node, name in self.expand(returning.expressions)]
         columns = [(name, resolved_type(self.typer.type(node))) for node, name in nodes]
         # As in the rest of UPDATE and DELETE, RETURNING may name the table only by its alias.
@@ -1018,14 +1018,14 @@
         )
 
     def insert(self, tree):
-        check(tree, "this", "expression", "conflict", "returning")
+        check_properties(tree, "this", "expression", "conflict", "returning")
         target = tree.this
         if not isinstance(target, exp.Schema):
             if isinstance(target, exp.Table):
                 target = exp.Schema(this=target, expressions=[])
             else:
                 raise unsupported(construct_name(tree))
-        check(target, "this", "expressions")
+        check_properties(target, "this", "expressions")
         alias, table = self.add_target(target.this)
         names = [folded_name(column) for column in target.expressions] or list(table.columns)
         for name in names:
@@ -1044,7 +1044,7 @@
             raise unsupported(
                 "INSERT ... SELECT" if tree.expression is not None else "INSERT ... DEFAULT VALUES"
             )
-        check(tree.expression, "expressions")
+        check_properties(tree.expression, "expressions")
         at, shard_values = names.index(table.shard_column), []
         for row in tree.expression.expressions:
             items = (
@@ -1072,7 +1072,7 @@
                 )
         conflict = tree.args.get("conflict")
         if conflict is not None:
-            check(conflict, "action", "conflict_keys")
+            check_properties(conflict, "action", "conflict_keys")
             if "NOTHING" not in conflict.args["action"].name.upper():
                 raise unsupported("ON CONFLICT DO UPDATE")
         columns, returning = self.returning_clause(tree)
@@ -1121,7 +1121,7 @@
         return count.sql("postgres")
 
     def update(self, tree):
-        check(tree, "this", "expressions", "where", "returning")
+        check_properties(tree, "this", "expressions", "where", "returning")
         alias, table = self.add_target(tree.this)
         assignments = []
         for assignment in tree.expressions:
@@ -1161,7 +1161,7 @@
         )
 
     def delete(self, tree):
-        check(tree, "this", "where", "returning")
+        check_properties(tree, "this", "where", "returning")
         alias, table = self.add_target(tree.this)
         where, conditions = self.qualified_where(tree, alias)
         columns, returning = self.returning_clause(tree)
--- a/mothnotch/sql/schema.py
+++ b/mothnotch/sql/schema.py
@@ -44,16 +44,17 @@
     bounds: tuple
 
     @property
-    def shards(self):
+    def shard_count(self):
         return len(self.bounds) - 1
 
     def range(self, shard):
+        """Return the inclusive lower and the exclusive upper bound of a shard's range."""
         return self.bounds[shard], self.bounds[shard + 1]
 
     def shard_of(self, value):
         """Return the shard whose range contains a value, or None if no range does."""
         shard = bisect_right(self.bounds, value) - 1
-        return shard if 0 <= shard < self.shards else None
+        return shard if 0 <= shard < self.shard_count else None
 
     def table(self, name):
         if name not in self.tables:
@@ -62,13 +63,13 @@
 
     def shards_between(self, low, high, low_exclusive, high_exclusive):
         """Return the shards that can hold values between two bounds; None means no bound."""
-        first, last = 0, self.shards - 1
+        first, last = 0, self.shard_count - 1
         if low is not None:
             first = max(0, bisect_right(self.bounds, low) - 1)
             if (
                 low_exclusive
                 and isinstance(low, int)
-                and first < self.shards
+                and first < self.shard_count
                 and low + 1 >= self.bounds[first + 1]
             ):
                 first += 1
--- a/mothnotch/sql/typer.py
+++ b/mothnotch/sql/typer.py
@@ -44,7 +44,7 @@
     return f"{name} ({node.sql('postgres')[:60]})"
 
 
-def check(node, *allowed):
+def check_properties(node, *allowed):
     """Raise 0A000 if a node has a property other than the allowed ones."""
     for key, value in node.args.items():
         if (
@@ -187,23 +187,23 @@
     # ---- operators ----
 
     def on_paren(self, node, want, aggregates):
-        check(node, "this")
+        check_properties(node, "this")
         return self.type(node.this, want, aggregates)
 
     def on_neg(self, node, want, aggregates):
-        check(node, "this")
+        check_properties(node, "this")
         oid = self.type(node.this, want, aggregates)
         if oid not in NUMBERS:
             raise SqlError("42883", f"operator does not exist: - {t.NAMES.get(oid, oid)}")
         return oid
 
     def on_not(self, node, want, aggregates):
-        check(node, "this")
+        check_properties(node, "this")
         self.require_boolean(node.this, aggregates, "NOT")
         return t.BOOL
 
     def on_and(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         for side in (node.this, node.expression):
             self.require_boolean(side, aggregates, type(node).__name__.upper())
         return t.BOOL
@@ -265,7 +265,7 @@
     }
 
     def comparison(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         self.operand_types(
             node.this,
             node.expression,
@@ -275,7 +275,7 @@
         return t.BOOL
 
     def arithmetic(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         operator = self.OPERATOR_NAMES[type(node)]
         a, b, oid = self.operand_types(node.this, node.expression, aggregates, operator)
         if isinstance(node, (exp.Add, exp.Sub)) and a == t.DATE and b in INTS:
@@ -288,13 +288,13 @@
         return oid
 
     def on_dpipe(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         for side in (node.this, node.expression):
             self.type(side, t.TEXT, aggregates)
         return t.TEXT
 
     def on_between(self, node, want, aggregates):
-        check(node, "this", "low", "high")
+        check_properties(node, "this", "low", "high")
         for bound in (node.args["low"], node.args["high"]):
             self.operand_types(node.this, bound, aggregates, "BETWEEN")
         return t.BOOL
@@ -302,13 +302,13 @@
     def on_in(self, node, want, aggregates):
         if node.args.get("query") is not None:
             raise unsupported("a subquery")
-        check(node, "this", "expressions")
+        check_properties(node, "this", "expressions")
         for item in node.expressions:
             self.operand_types(node.this, item, aggregates, "=")
         return t.BOOL
 
     def on_is(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         if not isinstance(node.expression, (exp.Null, exp.Boolean)):
             raise unsupported(construct_name(node))
         self.type(
@@ -317,7 +317,7 @@
         return t.BOOL
 
     def on_like(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         for side in (node.this, node.expression):
             oid = self.type(side, t.TEXT, aggregates)
             if oid not in t.TEXTS:
@@ -329,12 +329,12 @@
     # ---- functions ----
 
     def on_case(self, node, want, aggregates):
-        check(node, "this", "ifs", "default")
+        check_properties(node, "this", "ifs", "default")
         values = [branch.args["true"] for branch in node.args["ifs"]] + [
             node.args.get("default") or exp.Null()
         ]
         for branch in node.args["ifs"]:
-            check(branch, "this", "true")
+            check_properties(branch, "this", "true")
             if node.this is not None:
                 self.operand_types(node.this, branch.this, aggregates, "=")
             else:
@@ -352,23 +352,23 @@
         return t.TEXT if oid == t.UNKNOWN else oid
 
     def on_coalesce(self, node, want, aggregates):
-        check(node, "this", "expressions")
+        check_properties(node, "this", "expressions")
         return self.result_type([node.this, *node.expressions], want, aggregates, "COALESCE")
 
     def on_nullif(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         a, _, _ = self.operand_types(node.this, node.expression, aggregates, "NULLIF")
         return t.TEXT if a == t.UNKNOWN else a
 
     def on_abs(self, node, want, aggregates):
-        check(node, "this")
+        check_properties(node, "this")
         oid = self.type(node.this, want, aggregates)
         if oid not in NUMBERS:
             raise SqlError("42883", f"function abs({t.NAMES.get(oid, oid)}) does not exist")
         return oid
 
     def text_function(self, node, want, aggregates):
-        check(node, "this")
+        check_properties(node, "this")
         oid = self.type(node.this, t.TEXT, aggregates)
         if oid not in t.TEXTS:
             raise SqlError(
@@ -378,13 +378,13 @@
         return TEXT_FUNCTIONS[type(node)]
 
     def on_cast(self, node, want, aggregates):
-        check(node, "this", "to")
+        check_properties(node, "this", "to")
         oid = cast_type(node)
         self.type(node.this, oid, aggregates)
         return oid
 
     def on_collate(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         if node.expression.name not in ("C", "POSIX"):
             raise unsupported(
                 f'collation "{node.expression.name}"', 'all text is ordered by collation "C" here'
@@ -394,7 +394,7 @@
     # ---- aggregates ----
 
     def on_filter(self, node, want, aggregates):
-        check(node, "this", "expression")
+        check_properties(node, "this", "expression")
         if not isinstance(node.this, AGGREGATES):
             raise unsupported(construct_name(node))
         self.require_boolean(node.expression.this, False, "FILTER")
@@ -404,7 +404,7 @@
         name = type(node).__name__.lower()
         if not aggregates:
             raise SqlError("42803", f"aggregate function {name}() is not allowed here")
-        check(node, "this")
+        check_properties(node, "this")
         inner = node.this
         if isinstance(inner, exp.Distinct):
             raise unsupported(f"{name}(DISTINCT)", "the parts' answers do not add up to it")
