--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -108,9 +108,19 @@
             "57P05",
             "terminating connection due to idle-session timeout",
         )
-        inside = duration_ms(self.session.get_setting("idle_in_transaction_session_timeout")) / 1000
-        if inside and self.session.transaction.status.value != b"I" and inside < limit[0]:
-            return inside, "25P03", "terminating connection due to idle-in-transaction timeout"
+        in_transaction_s = (
+            duration_ms(self.session.get_setting("idle_in_transaction_session_timeout")) / 1000
+        )
+        if (
+            in_transaction_s
+            and self.session.transaction.status.value != b"I"
+            and in_transaction_s < limit[0]
+        ):
+            return (
+                in_transaction_s,
+                "25P03",
+                "terminating connection due to idle-in-transaction timeout",
+            )
         return limit
 
     async def flush(self):
@@ -179,7 +189,7 @@
     async def startup(self):
         """Authenticate and create the session; return False after a CancelRequest."""
         frontend = self.frontend
-        declined = 0
+        encryption_requests = 0
         while True:
             event = await self.read_startup()
             if type(event) is wire.CancelRequest:
@@ -187,8 +197,8 @@
                 return False
             if type(event) is not wire.EncryptionRequest:
                 break
-            declined += 1
-            if declined > 2:
+            encryption_requests += 1
+            if encryption_requests > 2:
                 raise ProtocolError("encryption was asked for again and again")
             await self.stream.send_all(b"N")
         parameters = event.parameters
@@ -361,13 +371,13 @@
         """
         if len(plans) < 2:
             return
-        inside = self.session.transaction.status.value != b"I"
+        in_block = self.session.transaction.status.value != b"I"
         for plan in plans:
             if type(plan.statement) is local.Begin:
-                inside = True
+                in_block = True
             elif type(plan.statement) in (local.Commit, local.Rollback):
-                inside = False
-            elif plan.kind == "write" and not inside:
+                in_block = False
+            elif plan.kind == "write" and not in_block:
                 raise unsupported(
                     "a write among several statements of one query text",
                     "they would have to commit "
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -436,6 +436,7 @@
         return outcome
 
     def raise_rejected(self, retry_after_us):
+        """Raise the SqlError of a rejected request."""
         rejection = outcomes.rejection(retry_after_us)
         error = SqlError(rejection.sqlstate, rejection.text, rejection.hint)
         error.detail = rejection.detail
@@ -468,6 +469,7 @@
         return Statement(plan.sql, oids, values)
 
     def part_specs(self, plan, parameters, shards, sql=None):
+        """Return one read part per shard; `sql` replaces the statement of the plan."""
         weights, cost = (
             request_classes.part_weights(shards),
             self.service.cost_estimator.estimate_us(plan.shape, plan.tables),
@@ -481,6 +483,7 @@
         return out
 
     def affinity_key(self, plan, parameters):
+        """Return the only possible value of the shard column as text, or None."""
         value = plan.shard_value(parameters)
         return None if value is None else str(value)
 
@@ -587,16 +590,17 @@
         return StatementResult(rows.tags[-1], rows.rows if plan.returning else None)
 
     async def send_write(self, shard, plans, statements, expected_counts, affinity_key, commits):
+        """Send writes to the leaf of a shard in one transaction; raise SqlError if that fails."""
         key = f"{self.service.run_name}-{next(self.service.key_numbers)}"
         payload = Write(key, tuple(statements), tuple(expected_counts), range_comment(shard))
-        name = (len(statements), plans[0].shape)
+        cost_key = (len(statements), plans[0].shape)
         spec = PartSpec(
-            shard, 1.0, self.service.cost_estimator.estimate_us(name, len(statements)), payload
+            shard, 1.0, self.service.cost_estimator.estimate_us(cost_key, len(statements)), payload
         )
         outcome = await self.execute_request(self.request_class(True), [spec], affinity_key)
         self.raise_if_failed(outcome, writes=True, commits=commits)
         for latency_us in outcome.latencies_us:
-            self.service.cost_estimator.record(name, len(statements), latency_us)
+            self.service.cost_estimator.record(cost_key, len(statements), latency_us)
         return outcome
 
     async def buffer_write(self, plan, parameters, shards):
--- a/mothnotch/pgwire/server.py
+++ b/mothnotch/pgwire/server.py
@@ -26,7 +26,7 @@
 class EncryptionRequest:
     """SSLRequest or GSSENCRequest; the answer is a single byte."""
 
-    what: str
+    encryption: str
 
 
 @dataclass(slots=True, frozen=True)
