--- a/mothnotch/audit/peers.py
+++ b/mothnotch/audit/peers.py
@@ -59,7 +59,7 @@
 
 
 def check_no_false_positives(record):
-    """No root is held for gone that was running and reachable for as long as a suspicion lasts."""
+    """No root is considered gone that ran and was reachable for as long as a suspicion lasts."""
     violations, checked = [], 0
     for sample in record.samples:
         begin = sample.asked - record.gone_bound_s - record.agreement_bound_s
@@ -75,14 +75,14 @@
             checked += 1
             if peer.state == "gone":
                 violations.append(
-                    f"{sample.view.name} holds {peer.name} for gone at {sample.at:.2f} s, "
+                    f"{sample.view.name} considers {peer.name} gone at {sample.at:.2f} s, "
                     "but it was reachable"
                 )
     return Verdict("sound roots are not held for gone", checked, violations)
 
 
 def check_dead_roots_detected(record):
-    """Every root holds a root for gone that has been down for the stated bound."""
+    """Every root considers a root gone once that has been down for the stated bound."""
     violations, checked = [], 0
     for n, begin, end in record.down_intervals:
         for sample in record.samples:
@@ -95,7 +95,7 @@
             checked += 1
             if any(p.name == record.root_names[n] and p.state != "gone" for p in sample.view.peers):
                 violations.append(
-                    f"{sample.view.name} does not hold {record.root_names[n]} for gone at "
+                    f"{sample.view.name} does not consider {record.root_names[n]} gone at "
                     f"{sample.at:.2f} s, although it has been down since {begin:.2f} s"
                 )
     return Verdict(f"dead roots are gone within {record.gone_bound_s:g} s", checked, violations)
@@ -112,7 +112,7 @@
 
 
 def check_agreement(record):
-    """Once no fault is active, each root holds all others for alive in their last incarnation."""
+    """Once no fault is active, each root sees all others as alive in their last incarnation."""
     violations, checked, incarnations = [], 0, {}
     for sample in sorted(record.samples, key=lambda s: s.at):
         incarnations[sample.view.name] = sample.view.incarnation
@@ -130,7 +130,7 @@
                 or peer.incarnation < incarnations.get(name, peer.incarnation)
             ):
                 violations.append(
-                    f"{sample.view.name} holds {name} for {peer.state if peer else 'nobody'} at "
+                    f"{sample.view.name} sees {name} as {peer.state if peer else 'nobody'} at "
                     f"{sample.at:.2f} s"
                 )
     return Verdict(f"all agree within {record.agreement_bound_s:g} s", checked, violations)
@@ -211,13 +211,13 @@
 
 
 def detection_times(record):
-    """Return the longest times, in seconds, until a dead root was held for gone.
+    """Return the longest times, in seconds, until a dead root was considered gone.
 
-    They are measured up to the first root that did so, and up to the last one.
+    One is measured until the first root did so, the other until the last one did.
     """
     first, last = [0.0], [0.0]
     for n, begin, end in record.down_intervals:
-        delays = {}  # root -> time until it was first seen to hold root n for gone
+        delays = {}  # root -> time until it first considered root n gone
         for sample in sorted(record.samples, key=lambda s: s.at):
             if (
                 sample.root != n
--- a/mothnotch/badday/catalogue.py
+++ b/mothnotch/badday/catalogue.py
@@ -174,9 +174,7 @@
             self.consul.update_registrations(name)
 
     async def do_health_flapping(self, fault, names):
-        """A check of each leaf turns critical and back `factor` times a second; the leaf itself is
-        healthy.
-        """
+        """A check of each healthy leaf turns critical and back `factor` times a second."""
         end, is_critical = trio.current_time() + fault.lasts, False
         while trio.current_time() < end:
             is_critical = not is_critical
@@ -191,9 +189,7 @@
             self.consul.catalogue.remove_check("node-" + name.split("-")[1], "disk")
 
     async def do_depart(self, fault, names):
-        """Leaves are marked as departing, or taken out, by a random method; they keep running, and
-        return.
-        """
+        """Running leaves are marked as departing or taken out by a random method, and return."""
         method = random.Random(f"{self.seed} {fault.at} means").choice(DEPARTURE_METHODS)
         for name in names:
             self.consul.departure_methods[name] = method
--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -209,7 +209,7 @@
         self.publish_roster()
 
     async def do_vanish(self, fault, names):
-        """Open connections to the leaves stall and new ones are not answered, until they restart."""
+        """Open connections stall and new ones are not answered, until the leaves restart cold."""
         for leaf in self.leaves_named(names):
             leaf.faults.hang = True
             if isinstance(self.network, MemoryNetwork):
@@ -252,9 +252,7 @@
             self.publish_roster()
 
     async def do_replace(self, fault, names):
-        """Machines disappear without notice, and others replace them at new addresses, which are
-        known only from the roster.
-        """
+        """Machines are replaced without notice by others, whose addresses only the roster tells."""
         for leaf in self.leaves_named(names):
             leaf.faults.hang = True
             if isinstance(self.network, MemoryNetwork):
--- a/mothnotch/badday/script.py
+++ b/mothnotch/badday/script.py
@@ -66,7 +66,7 @@
     """The roots exchange their state as peers. The bounds are in protocol periods."""
 
     period_ms: float = 200.0
-    gone: float = 30.0  # until all hold a dead root for gone
+    gone: float = 30.0  # until all consider a dead root gone
     agree: float = 25.0  # until all agree after the last fault has ended
     fact: float = 25.0  # until all know a fact that is published anew every second
 
