--- a/mothnotch/leaves/write_exchange.py
+++ b/mothnotch/leaves/write_exchange.py
@@ -195,7 +195,7 @@
     return ErrorFields(
         "ERROR",
         _PROGRAM_LIMIT_EXCEEDED,
-        f"the answer of the write would exceed {_ANSWER_LIMIT_BYTES} bytes; nothing was changed",
+        f"the answer of a write would pass {_ANSWER_LIMIT_BYTES} bytes; nothing was changed",
         hint="Return fewer rows.",
     )
 
