--- a/mothnotch/standins/leaf.py
+++ b/mothnotch/standins/leaf.py
@@ -1,9 +1,9 @@
-"""A stand-in leaf: the PostgreSQL wire in front of a Store, with cores, service times, a cold
-start, and faults.
+"""A stand-in leaf: the PostgreSQL wire protocol in front of a Store, with a limited number of
+cores, service times, a cold start and injected faults.
 
-It records what reaches it, with times, so that an auditor can judge the root from the leaf's side.
-Its troubles are switched on by `LeafFaults`; what it does with them is what a client could see of a
-real one.
+It records with times which statements reach it, so that the audit can check the root from the
+leaf's side. The fields of `LeafFaults` switch faults on; each one behaves as a client would observe
+it on a real server.
 """
 
 import itertools
@@ -23,38 +23,40 @@
 
 @dataclass(slots=True)
 class LeafFaults:
-    """What is wrong with a leaf at present."""
+    """Faults that are injected into a leaf."""
 
-    hang: bool = False  # accepts and reads, and says nothing
-    slow: float = 1.0  # every piece of work takes so many times as long
-    errors: float = 0.0  # share of statements that fail at once
-    pause_until: float = 0.0  # stands still until then
-    idle_reap_s: float | None = None  # closes connections idle for so long
-    silent_reap: bool = False  # ... without telling the peer
-    lose: float = 0.0  # share of commits whose word never gets back to the peer
-    poison: str = ""  # a statement with a value that begins so ends the process
+    hang: bool = False  # accepts connections and reads, and never answers
+    slow: float = 1.0  # factor on every service time
+    errors: float = 0.0  # fraction of statements that fail at once
+    pause_until: float = 0.0  # the process pauses until this time
+    idle_reap_s: float | None = None  # closes connections that are idle for longer
+    silent_reap: bool = False  # ... by ignoring them, without a close that the peer sees
+    lose: float = 0.0  # fraction of commits whose confirmation never reaches the peer
+    poison: str = ""  # a statement with a value of this prefix ends the process
 
 
 @dataclass(slots=True)
 class LeafSettings:
+    """Settings of one leaf."""
+
     name: str
     address: str
     zone: str = ""
     shards: frozenset = frozenset()
     cores: int = 2
-    work_ms: float = 2.0  # of one statement, on a warm core; drawn around it
-    row_us: float = 2.0  # on top, for each row given
-    cold_from: float = 1.0  # capacity just after a start
-    cold_s: float = 0.0  # until it is warm
-    fall_multiple: float = 3.0  # sent more than this multiple of its capacity
-    fall_s: float = 3.0  # for so long, it falls over
+    work_ms: float = 2.0  # mean time of one statement on a warm core; varies by up to 40%
+    row_us: float = 2.0  # additional time for each returned row
+    cold_from: float = 1.0  # fraction of its capacity just after a cold start
+    cold_s: float = 0.0  # time until it has its full capacity
+    fall_multiple: float = 3.0  # a cold leaf crashes under more than this multiple of its capacity
+    fall_s: float = 3.0  # within this period
     key_window_s: float = 1.2
     most_connections: int = 200
 
 
 @dataclass(slots=True, frozen=True)
 class LeafEvent:
-    """One thing that happened at a leaf. `values` are the bound ones, as text."""
+    """One event at a leaf. `values` are the bound parameter values, as text."""
 
     at: float
     leaf: str
@@ -67,23 +69,28 @@
 
 @dataclass(slots=True, eq=False)
 class Session:
+    """The state of one client connection."""
+
     pid: int
     secret: int
     stream: object
     wire: object
     statements: dict = field(default_factory=dict)
     portals: dict = field(default_factory=dict)
-    transaction: list | None = None  # statements run so far, with what they did
+    transaction: list | None = None  # (sql, values) of its statements; None: no transaction
     shard: int | None = None
     failed: bool = False
-    scope: object = None  # of the statement under way
-    heard: dict = field(default_factory=dict)  # statement name -> text, as read
-    skipping: bool = False  # an error came up: all until Sync is skipped
-    used: float = 0.0
+    scope: object = None  # cancel scope of the running statement
+    received: dict = field(default_factory=dict)  # statement name -> text, as soon as it is read
+    skipping: bool = False  # after an error, messages until Sync are skipped
+    last_used: float = 0.0  # infinity: reaped silently
 
 
 class Leaf:
-    """One process of a leaf. `start` until `stop`; a new start is cold and remembers nothing."""
+    """One leaf process, which can be started and stopped repeatedly.
+
+    It calls `record` with a LeafEvent for each event. Only the tables survive a restart.
+    """
 
     def __init__(self, settings, store, network, record, seed=0):
         self.settings, self.store, self.network, self.record = settings, store, network, record
@@ -92,32 +99,32 @@
         self.pids, self.sessions, self.scope = itertools.count(1000), {}, None
         self.overload_crashed = self.poison_crashed = False
 
-    # ---- life ----
+    # ---- process ----
 
     async def run(self, cold=False, task_status=trio.TASK_STATUS_IGNORED):
-        """One life of the process, until `stop` or a fall."""
+        """Run the process until `stop` or a crash; an overload crash is final."""
         if self.overload_crashed:
             task_status.started()
             return
         self.cores = trio.Semaphore(self.settings.cores)
-        self.started, self.cold, self.sent = trio.current_time(), cold, deque()
+        self.started, self.cold, self.recent_work = trio.current_time(), cold, deque()
         self.started_wall = self.network.wall_time() if cold else self.network.wall_time() - 3600
         with trio.CancelScope() as self.scope:
             listeners = await self.network.listen(self.settings.address)
             self.settings.address = self.network.bound_address(listeners[0])
             self.up = True
-            self.see("up")
+            self.record_event("up")
             task_status.started()
             try:
                 async with trio.open_nursery() as nursery:
-                    nursery.start_soon(self.reap)
+                    nursery.start_soon(self.close_idle_connections)
                     nursery.start_soon(
                         serve,
                         listeners,
-                        self.client,
+                        self.serve_client,
                         nursery,
                         self.settings.most_connections,
-                        self.turn_away,
+                        self.refuse_connection,
                     )
             finally:
                 self.up = False
@@ -127,26 +134,26 @@
                 for listener in listeners:
                     with trio.CancelScope(shield=True):
                         await listener.aclose()
-        self.see("down")
+        self.record_event("down")
 
     def stop(self):
-        """Ends the process at once: connections are reset, the port refuses."""
+        """End the process at once: connections are reset and new ones refused."""
         if self.scope is not None:
             self.scope.cancel()
 
-    def see(self, what, text="", values=(), tag="", shard=None):
+    def record_event(self, what, text="", values=(), tag="", shard=None):
         self.record(
             LeafEvent(trio.current_time(), self.settings.name, what, text, values, tag, shard)
         )
 
     def capacity(self):
-        """The share of its capacity that it has now."""
+        """Return the fraction of its full capacity that the leaf has now."""
         if not self.cold or not self.settings.cold_s:
             return 1.0
         age = (trio.current_time() - self.started) / self.settings.cold_s
         return self.settings.cold_from + (1 - self.settings.cold_from) * min(1.0, age)
 
-    async def turn_away(self, stream):
+    async def refuse_connection(self, stream):
         try:
             await stream.send_all(
                 b.error(b.ErrorFields("FATAL", "53300", "sorry, too many clients already"))
@@ -155,59 +162,62 @@
             pass
         close_now(stream)
 
-    async def reap(self):
+    async def close_idle_connections(self):
+        """Close idle connections while the fault `idle_reap_s` is on."""
         while True:
             await trio.sleep(0.05)
             idle = self.faults.idle_reap_s
             if idle is None:
                 continue
             for session in list(self.sessions.values()):
-                if session.scope is None and trio.current_time() - session.used > idle:
+                if session.scope is None and trio.current_time() - session.last_used > idle:
                     if self.faults.silent_reap:
-                        session.used = float("inf")  # forgotten: nothing on it is heard any more
+                        session.last_used = float("inf")  # its data is ignored from now on
                     else:
                         close_now(session.stream)
 
     # ---- one connection ----
 
-    async def client(self, stream):
-        raw = self.rng.getrandbits(64).to_bytes(8, "big")
-        _, secret = wire.key_data_from_random(raw)
+    async def serve_client(self, stream):
+        random_bytes = self.rng.getrandbits(64).to_bytes(8, "big")
+        _, secret = wire.key_data_from_random(random_bytes)
         session = Session(next(self.pids), secret, stream, wire.ServerConnection(1 << 24))
-        session.used = trio.current_time()
+        session.last_used = trio.current_time()
         try:
-            await self.talk(session)
+            await self.handle_messages(session)
         except (ProtocolError, OSError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             self.sessions.pop(session.pid, None)
             close_now(stream)
 
-    def arrived(self, session, arrived):
-        """Reads all that has come in, and records each statement at the time it came, not when its
-        turn comes.
+    def read_messages(self, session, messages):
+        """Append all received messages to `messages`.
+
+        Each statement is recorded at the time when it arrives, not when it runs.
         """
         while True:
             event = session.wire.next_event()
             if event is None:
                 return
-            arrived.append(event)
+            messages.append(event)
             if type(event) is wire.Parse:
-                session.heard[event.name] = event.sql
+                session.received[event.name] = event.sql
             elif type(event) is wire.Bind:
-                tag, sql = untagged(session.heard.get(event.statement, ""))
+                tag, sql = untagged(session.received.get(event.statement, ""))
                 values = tuple(
                     None if v is None else v.decode("utf-8", "replace") for v in event.values
                 )
-                self.see("arrived", sql, values, tag, shard_of(tag))
+                self.record_event("arrived", sql, values, tag, shard_of(tag))
             elif type(event) is wire.Query:
-                self.see("arrived", event.sql)
+                self.record_event("arrived", event.sql)
 
-    async def talk(self, session):
+    async def handle_messages(self, session):
+        """Read and answer messages until the connection ends."""
         out, waiting = bytearray(), deque()
         while True:
             if not waiting:
-                self.arrived(session, waiting)
+                self.read_messages(session, waiting)
             event = waiting.popleft() if waiting else None
             if event is not None and session.skipping:
                 if type(event) not in (wire.Sync, wire.Terminate):
@@ -220,22 +230,22 @@
                 data = await session.stream.receive_some(1 << 16)
                 if not data:
                     return
-                if self.faults.hang or session.used == float("inf"):
+                if self.faults.hang or session.last_used == float("inf"):
                     await trio.sleep_forever()
                 session.wire.receive(data)
                 continue
-            session.used = trio.current_time()
+            session.last_used = trio.current_time()
             kind = type(event)
             if kind is wire.Terminate:
                 return
             if kind is wire.CancelRequest:
-                victim = self.sessions.get(event.pid)
+                target = self.sessions.get(event.pid)
                 if (
-                    victim is not None
-                    and victim.secret == event.secret
-                    and victim.scope is not None
+                    target is not None
+                    and target.secret == event.secret
+                    and target.scope is not None
                 ):
-                    victim.scope.cancel()
+                    target.scope.cancel()
                 return
             if kind is wire.EncryptionRequest:
                 out += b"N"
@@ -251,7 +261,7 @@
                 out += b.key_data(session.pid, session.secret) + b.ready(b"I")
             elif kind is wire.Sync:
                 out += b.ready(self.status(session))
-                await session.stream.send_all(bytes(out))  # a peer that is gone is seen here
+                await session.stream.send_all(bytes(out))  # raises if the peer has closed
                 out.clear()
             elif kind is wire.Query:
                 await self.simple(session, event.sql, out)
@@ -264,13 +274,15 @@
                     out += b.error(b.ErrorFields("ERROR", error.sqlstate, str(error)))
 
     def status(self, session):
+        """Return the transaction status that ReadyForQuery reports."""
         return b"I" if session.transaction is None else b"E" if session.failed else b"T"
 
     async def simple(self, session, sql, out):
+        """Run the statements of a simple query and append the reply to `out`."""
         try:
-            for piece in sql.split(";"):
-                if piece.strip():
-                    names, rows, tag = await self.statement(session, piece.strip(), ())
+            for statement in sql.split(";"):
+                if statement.strip():
+                    names, rows, tag = await self.statement(session, statement.strip(), ())
                     if names:
                         out += b.row_description([b.Column(n, t.TEXT) for n in names])
                         out += b"".join(b.data_row(row) for row in rows)
@@ -281,6 +293,7 @@
         out += b.ready(self.status(session))
 
     async def extended(self, session, event, out):
+        """Handle one message of the extended protocol and append the reply to `out`."""
         kind = type(event)
         if kind is wire.Parse:
             session.statements[event.name] = (event.sql, event.oids)
@@ -292,8 +305,8 @@
             values = []
             for n, raw in enumerate(event.values):
                 oid = oids[n] if n < len(oids) else 0
-                read = t.from_binary if event.format_of(n) else t.from_text
-                value = None if raw is None else read(oid or t.TEXT, raw)
+                decode = t.from_binary if event.format_of(n) else t.from_text
+                value = None if raw is None else decode(oid or t.TEXT, raw)
                 values.append(
                     value if value is None or isinstance(value, (int, float, str)) else str(value)
                 )
@@ -322,18 +335,18 @@
     # ---- statements ----
 
     async def statement(self, session, text, values):
-        """Runs one statement after its work: (column names, rows, command tag)."""
+        """Run one statement for its service time; return (column names, rows, command tag)."""
         tag, sql = untagged(text)
-        word = sql.split(None, 1)[0].upper()
-        if session.failed and word not in ("ROLLBACK", "COMMIT"):
+        command = sql.split(None, 1)[0].upper()
+        if session.failed and command not in ("ROLLBACK", "COMMIT"):
             raise EngineError("25P02", "current transaction is aborted")
         shard = shard_of(tag) if "range=" in tag else session.shard
-        if word in ("BEGIN", "ROLLBACK", "COMMIT"):
-            return await self.control(session, word, shard)
-        if word in ("SET", "SHOW"):
-            return [], [], word
+        if command in ("BEGIN", "ROLLBACK", "COMMIT"):
+            return await self.control(session, command, shard)
+        if command in ("SET", "SHOW"):
+            return [], [], command
         if shard is None:
-            shard = self.guess(values)
+            shard = self.infer_shard(values)
         if shard not in self.settings.shards:
             raise EngineError("MN001", f"range {shard} is not held here")
         if self.faults.poison and any(
@@ -342,10 +355,10 @@
             self.poison_crashed = True
             self.stop()
         await self.work(session, sql)
-        if word in ("SELECT", "TABLE"):
+        if command in ("SELECT", "TABLE"):
             names, rows, _ = self.store.run(shard, sql, values)
             await self.work(session, None, len(rows) * self.settings.row_us / 1e6)
-            self.see("done", sql, values, tag, shard)
+            self.record_event("done", sql, values, tag, shard)
             return names, rows, f"SELECT {len(rows)}"
         if session.transaction is not None:
             session.transaction.append((sql, values))
@@ -353,38 +366,41 @@
             names, rows, count = self.store.run_together(shard, session.transaction, False)[-1]
         else:
             ((names, rows, count),) = self.store.run_together(shard, [(sql, values)], True)
-            self.see("commit", sql, values, tag, shard)
-        return names, rows, f"INSERT 0 {count}" if word == "INSERT" else f"{word} {count}"
+            self.record_event("commit", sql, values, tag, shard)
+        return names, rows, f"INSERT 0 {count}" if command == "INSERT" else f"{command} {count}"
+
+    def infer_shard(self, values):
+        """Infer the shard of a statement without a tag, such as a driver's own.
 
-    def guess(self, values):
-        """The range of a statement that carries no tag: a driver's own; the first value that is a
-        bound tells.
+        The first value that is a range bound decides, else it is the first shard that the leaf
+        holds.
         """
         for value in values:
             if isinstance(value, int) and value in self.store.bounds:
                 return self.store.bounds.index(value)
         return min(self.settings.shards, default=0)
 
-    async def control(self, session, word, shard):
-        if word == "BEGIN":
+    async def control(self, session, command, shard):
+        """Run BEGIN, COMMIT or ROLLBACK."""
+        if command == "BEGIN":
             session.transaction, session.failed, session.shard = [], False, shard
             return [], [], "BEGIN"
         statements, failed = session.transaction, session.failed
         session.transaction, session.failed = None, False
-        if word == "ROLLBACK" or failed or statements is None:
-            return [], [], "ROLLBACK" if word == "ROLLBACK" or failed else "COMMIT"
+        if command == "ROLLBACK" or failed or statements is None:
+            return [], [], "ROLLBACK" if command == "ROLLBACK" or failed else "COMMIT"
         await self.work(session, None, self.settings.work_ms / 4000)
         if statements:
             self.store.run_together(session.shard, statements, True)
             for sql, values in statements:
-                self.see("commit", sql, values, "", session.shard)
+                self.record_event("commit", sql, values, "", session.shard)
             self.forget_keys(session.shard)
             if self.rng.random() < self.faults.lose:
                 await trio.sleep_forever()
         return [], [], "COMMIT"
 
     def forget_keys(self, shard):
-        """Keys are dropped once their window has passed."""
+        """Delete idempotency keys one second after their window has passed."""
         now = trio.current_time()
         db = self.store.ranges[shard]
         db.execute("UPDATE mothnotch_keys SET at = ? WHERE at IS NULL", (now,))
@@ -393,64 +409,64 @@
         )
 
     async def work(self, session, sql, seconds=None):
-        """Waits for a core and holds it for the work; a cancel ends it with 57014."""
-        trouble = self.faults
+        """Wait for a core and occupy it for the service time; a cancel ends it with 57014."""
+        faults = self.faults
         if seconds is None:
-            if self.rng.random() < trouble.errors:
+            if self.rng.random() < faults.errors:
                 raise EngineError("58000", "the stand-in was told to fail")
             seconds = self.settings.work_ms / 1000 * self.rng.uniform(0.6, 1.4)
-            self.push(seconds)
-        seconds = seconds * trouble.slow / self.capacity()
-        if not seconds and not trouble.hang:
+            self.track_load(seconds)
+        seconds = seconds * faults.slow / self.capacity()
+        if not seconds and not faults.hang:
             return
         with trio.CancelScope() as session.scope:
             async with self.cores:
                 await trio.sleep(seconds)
                 while self.faults.hang:
                     await trio.sleep(0.02)
-                while trio.current_time() < trouble.pause_until:
-                    await trio.sleep_until(trouble.pause_until)
+                while trio.current_time() < faults.pause_until:
+                    await trio.sleep_until(faults.pause_until)
         cancelled = session.scope.cancelled_caught
         session.scope = None
         if cancelled:
             raise EngineError("57014", "canceling statement due to user request")
 
-    def push(self, seconds):
-        """A cold leaf that is sent more than a multiple of what it can do for so long falls over,
-        and stays down.
+    def track_load(self, seconds):
+        """Crash a cold leaf, for good, if it gets too much work.
+
+        The limit is `fall_multiple` times what its capacity permits within `fall_s`.
         """
         now = trio.current_time()
-        self.sent.append((now, seconds))
-        while self.sent and self.sent[0][0] < now - self.settings.fall_s:
-            self.sent.popleft()
+        self.recent_work.append((now, seconds))
+        while self.recent_work and self.recent_work[0][0] < now - self.settings.fall_s:
+            self.recent_work.popleft()
         if not self.cold or now - self.started > self.settings.cold_s + self.settings.fall_s:
             return
-        able = (
+        limit = (
             self.settings.fall_multiple
             * self.capacity()
             * self.settings.cores
             * self.settings.fall_s
         )
-        if sum(work for _, work in self.sent) > able:
+        if sum(work for _, work in self.recent_work) > limit:
             self.overload_crashed = True
-            self.see("fell")
+            self.record_event("fell")
             self.stop()
 
 
 def untagged(text):
-    """(the comment in front of a statement, the statement)."""
-    found = TAG.match(text)
-    return (found[1], text[found.end() :]) if found else ("", text)
+    """Split a statement into (content of its leading comment, the rest)."""
+    match = TAG.match(text)
+    return (match[1], text[match.end() :]) if match else ("", text)
 
 
 def shard_of(tag):
+    """Return the shard that a tag names, or None."""
     return int(tag.split("range=")[1].split()[0]) if "range=" in tag else None
 
 
 class Fleet:
-    """Leaves and their roster: who is up, draining or gone, as a roster file or catalogue would
-    say.
-    """
+    """Leaves and their states in a roster file or catalogue: up, draining or removed."""
 
     def __init__(self, leaves, nursery):
         self.leaves, self.nursery = {leaf.settings.name: leaf for leaf in leaves}, nursery
@@ -461,17 +477,17 @@
             await self.nursery.start(leaf.run, cold)
 
     async def restart(self, name):
-        """A new process in the place of the old: cold."""
+        """Restart a stopped leaf cold and without faults."""
         leaf = self.leaves[name]
         leaf.faults = LeafFaults()
         if not leaf.up:
             await self.nursery.start(leaf.run, True)
 
     def roster(self, cells):
-        """The roster's entries, as the file states them."""
-        out = []
+        """Return the entries of the roster file."""
+        entries = []
         for n, (name, leaf) in enumerate(self.leaves.items()):
-            out.append(
+            entries.append(
                 {
                     "name": name,
                     "address": leaf.settings.address,
@@ -481,4 +497,4 @@
                     "started": leaf.started_wall,
                 }
             )
-        return out
+        return entries
