--- a/mothnotch/standins/platform.py
+++ b/mothnotch/standins/platform.py
@@ -1,8 +1,8 @@
-"""Stand-ins for the platform that a real root runs on: leaves that speak frames, discovery with a
-watch, clients.
+"""Stand-ins for the platform that a real root runs on: leaves that speak the framed protocol,
+discovery with a watch, and clients.
 
-Written from the platform's protocol on their own account: they share no codec with the root. What
-went over the streams is kept as the auditor of the six rules takes it.
+They implement the platform's protocol independently and share no codec with the root. What goes
+over the streams is kept as the record that the audit checks against its six rules.
 """
 
 import json
@@ -21,71 +21,78 @@
 
 
 def value_of(text, shard):
-    """What any leaf answers for a part."""
+    """Return the value that every leaf answers for a part."""
     return str(zlib.crc32(f"{text}|{shard}".encode()))
 
 
 @dataclass
 class World:
-    """What all stand-ins share: the record, and the keys whose effect was taken in."""
+    """The state that all stand-ins share: the record and the idempotency keys already applied."""
 
     record: DayRecord = field(default_factory=DayRecord)
-    keys: dict = field(default_factory=dict)  # (key, shard) -> (time, id)
+    keys: dict = field(default_factory=dict)  # (key, shard) -> (time, request id)
     window_s: float = 1.2
 
-    def record_event(self, leaf, what, rid="", shard=None):
+    def record_event(self, leaf, what, request_id="", shard=None):
         self.record.leaf_events.append(
             LeafEvent(
-                trio.current_time(), leaf, what, values=(f"id:{rid}",) if rid else (), shard=shard
+                trio.current_time(),
+                leaf,
+                what,
+                values=(f"id:{request_id}",) if request_id else (),
+                shard=shard,
             )
         )
 
 
 class Leaf:
-    """One leaf. `reply_kind(rid, shard)` says how a part is answered: "good", "bad", "later",
-    "silent", one of MALFORMED_REPLIES or of REPLIES_WITH_EXTRA_DATA; `work_s` is the time a part
-    takes.
+    """One leaf.
+
+    `reply_kind(request_id, shard)` selects the reply to a part: "good", "bad", "later", "silent",
+    one of MALFORMED_REPLIES or of REPLIES_WITH_EXTRA_DATA. `work_s` is the service time of a part.
     """
 
     def __init__(self, world, network, name, cell, cells, reach, work_s=0.05, listen="leaf:0"):
         self.world, self.network, self.name, self.cell = world, network, name, cell
         self.cells, self.reach, self.work_s, self.listen = cells, reach, work_s, listen
         self.reply_kind, self.streams, self.connections, self.cancelled_parts = (
-            lambda rid, shard: "good",
+            lambda request_id, shard: "good",
             set(),
             0,
             [],
         )
         self.address = self.nursery = None
-        self.deadlines = []  # the milliseconds each part was told
+        self.deadlines = []  # the deadline in ms that each part carried
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         listeners = await self.network.listen(self.listen)
         self.address = self.network.bound_address(listeners[0])
         async with trio.open_nursery() as self.nursery:
             task_status.started(self)
-            await serve(listeners, self.connection, self.nursery)
+            await serve(listeners, self.serve_client, self.nursery)
 
     def close_connections(self):
-        """Ends its connections, as a process that dies does."""
+        """Close all connections, as the end of the process does."""
         for stream in list(self.streams):
             close_now(stream)
 
-    async def connection(self, stream):
+    async def serve_client(self, stream):
         self.connections += 1
         self.streams.add(stream)
-        held, waiting = b"", {}
+        buffer, waiting = b"", {}
         try:
             while data := await stream.receive_some(1 << 16):
-                held += data
-                while len(held) >= 4 and len(held) >= 4 + (n := struct.unpack("<I", held[:4])[0]):
-                    letter, rest, held = held[4:5], held[5 : 4 + n], held[4 + n :]
+                buffer += data
+                while len(buffer) >= 4 and len(buffer) >= 4 + (
+                    length := struct.unpack("<I", buffer[:4])[0]
+                ):
+                    letter, body, buffer = buffer[4:5], buffer[5 : 4 + length], buffer[4 + length :]
                     if letter == b"m":
-                        self.call(stream, rest, waiting)
+                        self.receive_call(stream, body, waiting)
                     elif letter == b"n":
-                        self.cancelled_parts.append(rest.decode())
-                        if rest.decode() in waiting:
-                            waiting.pop(rest.decode()).cancel()
+                        self.cancelled_parts.append(body.decode())
+                        if body.decode() in waiting:
+                            waiting.pop(body.decode()).cancel()
                     elif letter == b"p":
                         self.network.send_now(stream, struct.pack("<I", 11) + b"pinflight=3")
                     else:
@@ -95,44 +102,54 @@
         self.streams.discard(stream)
         close_now(stream)
 
-    def call(self, stream, rest, waiting):
+    def receive_call(self, stream, rest, waiting):
+        """Start the parts of a call, one for each header line and text."""
         while rest:
             line, _, rest = rest.partition(b"\n")
-            wire_id, shard, told, length = line.decode().split(" ")
+            wire_id, shard, options, length = line.decode().split(" ")
             text, rest = rest[: int(length)].decode(), rest[int(length) :]
-            assert len(text.encode()) == int(length), "a text cut short"
-            rid, shard, told = (
+            assert len(text.encode()) == int(length), "the call ends within a text"
+            request_id, shard, options = (
                 wire_id.rsplit(".", 1)[0],
                 int(shard),
-                dict(x.split("=") for x in told.split(",")),
+                dict(x.split("=") for x in options.split(",")),
             )
             assert (shard - self.cell) % self.cells == 0 or any(
                 (shard + j) % self.cells == self.cell for j in range(self.reach)
-            ), "not a holder"
-            self.deadlines.append(int(told["d"]))
-            self.world.record_event(self.name, "arrived", rid, shard)
+            ), "the leaf does not hold this shard"
+            self.deadlines.append(int(options["d"]))
+            self.world.record_event(self.name, "arrived", request_id, shard)
             scope = waiting[wire_id] = trio.CancelScope()
             self.nursery.start_soon(
-                self.part, scope, stream, wire_id, rid, shard, text, told.get("k"), waiting
+                self.run_part,
+                scope,
+                stream,
+                wire_id,
+                request_id,
+                shard,
+                text,
+                options.get("k"),
+                waiting,
             )
 
-    async def part(self, scope, stream, wire_id, rid, shard, text, key, waiting):
-        with scope:  # given up in one read with its call, it is cancelled already
+    async def run_part(self, scope, stream, wire_id, request_id, shard, text, key, waiting):
+        """Answer a part after its service time, unless it is cancelled."""
+        with scope:  # already cancelled if the cancellation arrived in one read with the call
             await trio.sleep(self.work_s)
             waiting.pop(wire_id, None)
-            reply_kind = self.reply_kind(rid, shard)
+            reply_kind = self.reply_kind(request_id, shard)
             if reply_kind == "silent":
                 return
             if reply_kind not in ("bad", "later") and key is not None:
-                before = self.world.keys.get((key, shard))
-                if before is None or trio.current_time() - before[0] > self.world.window_s:
-                    self.world.keys[key, shard] = trio.current_time(), rid
+                previous = self.world.keys.get((key, shard))
+                if previous is None or trio.current_time() - previous[0] > self.world.window_s:
+                    self.world.keys[key, shard] = trio.current_time(), request_id
                     effects = self.world.record.effect_counts
-                    effects[f"id:{rid}"] = max(
-                        1, effects.get(f"id:{rid}", 0) + (before is not None)
+                    effects[f"id:{request_id}"] = max(
+                        1, effects.get(f"id:{request_id}", 0) + (previous is not None)
                     )
-                self.world.record_event(self.name, "commit", rid, shard)
-            try:  # parts answer side by side: whole frames, without waiting
+                self.world.record_event(self.name, "commit", request_id, shard)
+            try:  # sends without waiting, so that frames of concurrent parts do not mix
                 self.network.send_now(
                     stream, self.answer(reply_kind, wire_id, value_of(text, shard))
                 )
@@ -140,6 +157,8 @@
                 pass
 
     def answer(self, reply_kind, wire_id, value):
+        """Return the bytes of a reply."""
+
         def frame(line, letter=b"q"):
             return struct.pack("<I", 1 + len(line)) + letter + line
 
@@ -166,8 +185,10 @@
 
 
 class Discovery:
-    """An agent that serves the list; `tell` gives changes to all watches, `silent` keeps quiet as
-    while it is down.
+    """An agent that serves the endpoint list.
+
+    `publish` sends changes to all watches. While `silent` is set, nothing is sent, as if the agent
+    were down.
     """
 
     def __init__(self, network, targets, listen="discovery:0"):
@@ -191,14 +212,15 @@
         self.address = self.network.bound_address(listeners[0])
         async with trio.open_nursery() as nursery:
             task_status.started(self)
-            await serve(listeners, self.connection, nursery)
+            await serve(listeners, self.serve_root, nursery)
 
     def publish(self, whole=False, *targets):
+        """Update targets and send them to all watches, or the whole list."""
         self.rev += 1
         self.targets |= {t["uid"]: t for t in targets}
-        said = list(self.targets.values()) if whole else targets
+        sent = list(self.targets.values()) if whole else targets
         self.publish_line(
-            json.dumps({"rev": self.rev, "all": whole, "targets": said, "new key": 1})
+            json.dumps({"rev": self.rev, "all": whole, "targets": sent, "new key": 1})
         )
 
     def publish_line(self, text):
@@ -210,7 +232,7 @@
         for stream in list(self.streams):
             close_now(stream)
 
-    async def connection(self, stream):
+    async def serve_root(self, stream):
         self.streams.add(stream)
         try:
             head = b""
@@ -223,35 +245,35 @@
             if self.silent:
                 await trio.sleep_forever()
             await stream.send_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            at = len(self.lines)
+            position = len(self.lines)
             first = json.dumps(
                 {"rev": self.rev, "all": True, "targets": list(self.targets.values())}
             )
-            await self.chunk(stream, first)
+            await self.send_chunk(stream, first)
             while True:
                 with trio.move_on_after(2):
                     await self.changed.wait()
                 if self.silent:
                     await trio.sleep_forever()
-                for text in self.lines[at:] or [""]:
-                    await self.chunk(stream, text)
-                at = len(self.lines)
+                for text in self.lines[position:] or [""]:
+                    await self.send_chunk(stream, text)
+                position = len(self.lines)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
             self.streams.discard(stream)
             close_now(stream)
 
-    async def chunk(self, stream, text):
+    async def send_chunk(self, stream, text):
         data = text.encode() + b"\n"
         await stream.send_all(f"{len(data):x}\r\n".encode() + data + b"\r\n")
 
 
 class Client:
-    """A client's connection: asks, and keeps what it got for the auditor."""
+    """A client connection that records its requests and answers for the audit."""
 
     def __init__(self, world, network, address):
-        self.world, self.network, self.address, self.stream, self.held = (
+        self.world, self.network, self.address, self.stream, self.buffer = (
             world,
             network,
             address,
@@ -263,36 +285,40 @@
         self.stream = await self.network.open(self.address)
         return self
 
-    async def answer(self):
-        """(status, headers, body) of the next answer; None where the root closed instead."""
-        while b"\r\n\r\n" not in self.held:
-            if not await self.more():
+    async def read_answer(self):
+        """Return the next answer as (status, headers, body), or None if the root closed."""
+        while b"\r\n\r\n" not in self.buffer:
+            if not await self.receive_more():
                 return None
-        head, _, self.held = self.held.partition(b"\r\n\r\n")
+        head, _, self.buffer = self.buffer.partition(b"\r\n\r\n")
         lines = head.decode().split("\r\n")
-        headers = {n.lower(): v.strip() for n, _, v in (line.partition(":") for line in lines[1:])}
-        while len(self.held) < int(headers["content-length"]):
-            if not await self.more():
+        headers = {
+            name.lower(): value.strip()
+            for name, _, value in (line.partition(":") for line in lines[1:])
+        }
+        while len(self.buffer) < int(headers["content-length"]):
+            if not await self.receive_more():
                 return None
-        n = int(headers["content-length"])
-        body, self.held = self.held[:n], self.held[n:]
+        length = int(headers["content-length"])
+        body, self.buffer = self.buffer[:length], self.buffer[length:]
         return int(lines[0].split(" ")[1]), headers, body
 
-    async def more(self):
+    async def receive_more(self):
+        """Read into the buffer; return False at the end of the connection."""
         try:
             data = await self.stream.receive_some(1 << 16)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             return False
-        self.held += data
+        self.buffer += data
         return bool(data)
 
     async def send(self, data):
         await self.stream.send_all(data)
 
-    async def ask(self, rid, kind, shards, text="t", timeout_ms=1000, key=None, root=0):
-        """Asks once and records it; gives (status, headers, body) or None."""
+    async def ask(self, request_id, kind, shards, text="t", timeout_ms=1000, key=None, root=0):
+        """Send a request, record it, and return the answer as `read_answer` does."""
         ask = QueryRecord(
-            f"id:{rid}",
+            f"id:{request_id}",
             root,
             kind,
             key is not None,
@@ -302,24 +328,24 @@
         )
         ask.expected = {s: (int(value_of(text, s)),) for s in shards}
         self.world.record.queries.append(ask)
-        await self.send(request(rid, kind, shards, text, timeout_ms, key))
-        got = await self.answer()
+        await self.send(request(request_id, kind, shards, text, timeout_ms, key))
+        answer = await self.read_answer()
         ask.ended_at = trio.current_time()
-        if got is None:
+        if answer is None:
             ask.outcome = "lost"
             return None
-        ask.reply_count, ask.surplus_bytes = 1, len(self.held)
-        ask.outcome = {200: "answered", 503: "refused", 429: "refused"}.get(got[0], "failed")
-        if got[0] == 200:
-            body = json.loads(got[2])
+        ask.reply_count, ask.surplus_bytes = 1, len(self.buffer)
+        ask.outcome = {200: "answered", 503: "refused", 429: "refused"}.get(answer[0], "failed")
+        if answer[0] == 200:
+            body = json.loads(answer[2])
             ask.value = (sum(int(a["blob"]) for a in body["answers"]),)
-            there = {a["range"] for a in body["answers"]}
-            ask.missing = () if body["total"] else tuple(s for s in shards if s not in there)
-        return got
+            answered = {a["range"] for a in body["answers"]}
+            ask.missing = () if body["total"] else tuple(s for s in shards if s not in answered)
+        return answer
 
 
-def request(rid, kind, shards, text="t", timeout_ms=1000, key=None, headers=(), body=None):
-    """The bytes of a request."""
+def request(request_id, kind, shards, text="t", timeout_ms=1000, key=None, headers=(), body=None):
+    """Return the bytes of an HTTP request."""
     if body is None:
         body = json.dumps(
             {
@@ -332,7 +358,7 @@
     lines = [
         "POST /api?sid=7f3a HTTP/1.1",
         "Host: api.internal",
-        f"X-Request-ID: {rid}",
+        f"X-Request-ID: {request_id}",
         f"X-Priority-Class: {kind}",
         "X-Tenant-Id: t",
         f"X-Timeout-Ms: {timeout_ms}",
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -155,7 +155,7 @@
         client = await env.client()
         with trio.fail_after(2.5):
             await client.send(INVALID_REQUESTS[name])
-            got = await client.answer()
+            got = await client.read_answer()
         assert got is not None and 400 <= got[0] < 500 and got[1]["connection"] == "close"
         assert not env.world.record.leaf_events and not env.root.core.queries
         assert (await (await env.client()).ask("ok", "read", (0, 1)))[0] == 200
@@ -171,9 +171,9 @@
         client = await env.client()
         await client.send(data)
         with trio.fail_after(3):
-            got = await client.answer()
+            got = await client.read_answer()
             assert got is None or got[0] == 408
-            assert not await client.more()  # the root ended its side
+            assert not await client.receive_more()  # the root ended its side
         await trio.sleep(
             env.root.resource_limits.linger_s + 0.3
         )  # the root lingers, as an immediate close could destroy the 408
@@ -189,8 +189,8 @@
         await trio.sleep(0.05)  # the agent's list makes the root ready
         await client.send(f"HEAD {path} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
         await trio.sleep(0.1)
-        await client.more()
-        assert client.held.startswith(f"HTTP/1.1 {status} ".encode()) and client.held.endswith(
+        await client.receive_more()
+        assert client.buffer.startswith(f"HTTP/1.1 {status} ".encode()) and client.buffer.endswith(
             b"\r\n\r\n"
         )
         assert not [event for event, _ in env.log.lines if event == "unexpected error"]
@@ -205,7 +205,7 @@
             nursery.start_soon(first.ask, "r1", "read", (0, 1))
             await trio.sleep(0.01)
             await second.send(request("r1", "read", (2,)))
-            assert (await second.answer())[0] == 409
+            assert (await second.read_answer())[0] == 409
         assert len(arrivals_of(env, "r1")) == 2
         assert (await first.ask("r1", "read", (0,)))[
             0
@@ -222,11 +222,11 @@
             + b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n"
         )
         for n in range(4):
-            status, _, got = await client.answer()
+            status, _, got = await client.read_answer()
             assert status == 200 and json.loads(got)["answers"][0]["blob"] == platform.value_of(
                 f"q{n}", n
             )
-        assert (await client.answer())[0] == 200
+        assert (await client.read_answer())[0] == 200
 
     run_on_virtual_clock(test)
 
@@ -283,7 +283,7 @@
         silent = [await env.client() for _ in range(200)]
         assert (await (await env.client()).ask("r1", "read", (0, 1)))[0] == 200
         assert len(env.root.frontend.connections.clients) <= env.root.resource_limits.max_clients
-        assert await old.answer() is None  # it was idle the longest
+        assert await old.read_answer() is None  # it was idle the longest
         await trio.sleep(3)
         assert (
             all(c.stream.peer.closed for c in silent)
@@ -428,7 +428,7 @@
             link, b"q", late[5:], 0
         )  # an answer that crossed the cancellation
         assert env.root.pool.counts["late"] == 1 and not link.is_closed
-        status, _, got = await client.answer()
+        status, _, got = await client.read_answer()
         assert status == 200 and json.loads(got)["answers"][0]["blob"] == platform.value_of("t", 0)
 
     run_on_virtual_clock(test)
@@ -619,7 +619,7 @@
             nursery.start_soon(busy.ask, "r1", "read", (0,), "t", 1400)
             got = await late.ask("r2", "read", (1,), timeout_ms=1400)
             assert got[0] == 200 and got[1]["connection"] == "close"
-        assert await idle.answer() is None and not env.root.frontend.connections.clients
+        assert await idle.read_answer() is None and not env.root.frontend.connections.clients
         assert 0.5 < ended[0] - began < 2.5
         with pytest.raises(OSError):
             await env.network.open(env.root.addresses[0])
--- a/tests/test_run_line.py
+++ b/tests/test_run_line.py
@@ -145,7 +145,7 @@
                                 world, network, f"127.0.0.1:{port}"
                             ).connect()
                             await client.send(b"GET /-/ready HTTP/1.1\r\nHost: x\r\n\r\n")
-                            if (await client.answer())[0] == 200:
+                            if (await client.read_answer())[0] == 200:
                                 break
                         except OSError:
                             assert process.poll() is None, process.stderr.read()
--- a/tests/test_watches.py
+++ b/tests/test_watches.py
@@ -222,7 +222,7 @@
         new = platform.Discovery(env.network, list(ready.values()))
         new.rev = 7
         if not is_complete:  # the agent answers a watch from any version with a delta
-            send_chunk = new.chunk
+            send_chunk = new.send_chunk
 
             async def chunk(stream, text):
                 await send_chunk(
@@ -232,7 +232,7 @@
                     else text,
                 )
 
-            new.chunk = chunk
+            new.send_chunk = chunk
         await env.nursery.start(new.run)
         env.root.watch.change_address(new.address)
         await trio.sleep(0.2)
@@ -253,7 +253,7 @@
     async def ready_status(env):
         client = await env.client()
         await client.send(b"GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n")
-        return (await client.answer())[0]
+        return (await client.read_answer())[0]
 
     async def test(env):
         assert await ready_status(env) == 503  # the configured list may be outdated
