--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -1,5 +1,6 @@
-"""Drivers, unchanged, against a running root: reads, prepared statements, binary results, cancel,
-errors, transactions.
+"""Unmodified PostgreSQL drivers against a running root.
+
+They cover reads, prepared statements, binary results, cancellation, errors and transactions.
 """
 
 import asyncio
@@ -34,20 +35,21 @@
         yield connection
 
 
-COUNT = "SELECT count(*), sum(qty), avg(qty), min(item), max(best_before) FROM stock"
+AGGREGATE_QUERY = "SELECT count(*), sum(qty), avg(qty), min(item), max(best_before) FROM stock"
 
 
 def expected(run, sql):
+    """Return the rows that an unsharded database with the same data answers."""
     return run.store.unsharded_copy().execute(sql).fetchall()
 
 
-def test_psycopg_reads_as_one_engine_does(run, pg):
-    ours = pg.execute(COUNT).fetchone()
-    theirs = expected(run, COUNT)[0]
+def test_psycopg_reads_match_an_unsharded_database(run, pg):
+    actual = pg.execute(AGGREGATE_QUERY).fetchone()
+    reference = expected(run, AGGREGATE_QUERY)[0]
     assert (
-        ours[:2] == theirs[:2]
-        and float(ours[2]) == pytest.approx(theirs[2])
-        and str(ours[4]) == theirs[4]
+        actual[:2] == reference[:2]
+        and float(actual[2]) == pytest.approx(reference[2])
+        and str(actual[4]) == reference[4]
     )
     rows = pg.execute(
         "SELECT bin, item, qty FROM stock WHERE bin BETWEEN %s AND %s ORDER BY 1, 2, 3 LIMIT 20",
@@ -62,7 +64,7 @@
 
 def test_psycopg_binary_prepared_and_cursors(pg):
     cursor = pg.cursor(binary=True)
-    for n in range(8):  # past psycopg's threshold for preparing
+    for n in range(8):  # more than psycopg's threshold for preparing
         cursor.execute(
             "SELECT bin, item, best_before, qty FROM stock WHERE bin = %s", (n,), prepare=True
         )
@@ -73,11 +75,13 @@
     mean, total = cursor.fetchone()
     assert isinstance(mean, Decimal) and isinstance(total, int)
     with pg.pipeline():
-        found = [pg.execute("SELECT count(*) FROM orders WHERE bin = %s", (n,)) for n in range(20)]
-    assert all(len(c.fetchall()) == 1 for c in found)
+        cursors = [
+            pg.execute("SELECT count(*) FROM orders WHERE bin = %s", (n,)) for n in range(20)
+        ]
+    assert all(len(c.fetchall()) == 1 for c in cursors)
 
 
-def test_errors_carry_postgresqls_codes_and_leave_the_session_usable(run, pg):
+def test_errors_have_postgresql_codes_and_leave_the_session_usable(run, pg):
     before = run.root.core.counts["faults"]
     with record_attempts(run.root.core.balancer) as ends:
         for sql, kind in (
@@ -94,16 +98,16 @@
             with pytest.raises(kind):
                 pg.execute(sql)
             assert pg.execute("SELECT 1").fetchone() == (1,)
-    # A query's own error is no mark against the leaves that found it, nor against any other but one
-    # that was silent for longer than its part's patience when that was called off: with a root and
-    # leaves in one process, the machine decides that. On the virtual clock none is
-    # (test_root_faults.py).
+    # An error of the query itself must not count as a failure of a leaf. The exception is a leaf
+    # whose part was cancelled after the leaf had been silent for longer than the part allows. With
+    # root and leaves in one process, that depends on the load of the machine; on the virtual clock
+    # it does not occur (test_root_faults.py).
     assert run.root.core.counts["faults"] > before
     assert any(end.result is Result.OK for end in ends)
     assert not [end for end in ends if end.counted_as_failure and not end.cancelled_while_stuck]
 
 
-def test_transactions_commit_together_or_not_at_all(run):
+def test_transactions_are_atomic(run):
     with psycopg.connect(run.url()) as c:
         c.execute("INSERT INTO holds VALUES (110, 't1', 'rice', 2)")
         assert c.execute("UPDATE stock SET qty = qty - 1 WHERE bin = 110 AND qty > 1").rowcount >= 0
@@ -114,15 +118,15 @@
         before = c.execute("SELECT sum(qty) FROM stock WHERE bin BETWEEN 100 AND 199").fetchone()[0]
         c.rollback()
         c.execute("INSERT INTO holds VALUES (110, 't2', 'rice', 2), (111, 't2', 'tuna', 1)")
-        touched = c.execute(
+        updated_count = c.execute(
             "UPDATE stock SET qty = qty - 1 WHERE bin BETWEEN 100 AND 199 AND qty > 50"
         ).rowcount
-        assert touched > 0
+        assert updated_count > 0
         c.commit()
         assert c.execute("SELECT count(*) FROM holds WHERE order_id = 't2'").fetchone() == (2,)
         assert (
             c.execute("SELECT sum(qty) FROM stock WHERE bin BETWEEN 100 AND 199").fetchone()[0]
-            == before - touched
+            == before - updated_count
         )
         c.rollback()
         with pytest.raises(psycopg.errors.FeatureNotSupported, match="two bin ranges"):
@@ -137,7 +141,7 @@
         c.rollback()
 
 
-def test_savepoints_forget_held_writes(run):
+def test_rollback_to_a_savepoint_discards_its_buffered_writes(run):
     with psycopg.connect(run.url()) as c:
         c.execute("INSERT INTO holds VALUES (120, 's1', 'rice', 2)")
         with pytest.raises(psycopg.errors.UndefinedColumn), c.transaction():
@@ -146,13 +150,13 @@
         with c.transaction():
             c.execute("INSERT INTO holds VALUES (122, 's3', 'rice', 2)")
         c.commit()
-        found = c.execute(
+        rows = c.execute(
             "SELECT order_id FROM holds WHERE bin BETWEEN 120 AND 122 ORDER BY 1"
         ).fetchall()
-        assert found == [("s1",), ("s3",)]
+        assert rows == [("s1",), ("s3",)]
 
 
-def test_commit_fails_whole_when_counts_have_moved(run):
+def test_commit_fails_as_a_whole_when_row_counts_have_changed(run):
     with psycopg.connect(run.url()) as c, psycopg.connect(run.url(), autocommit=True) as other:
         other.execute("INSERT INTO holds VALUES (300, 'moved', 'x', 1)")
         assert (
@@ -167,7 +171,7 @@
         ).fetchone() == (2,)
 
 
-def test_returning_gives_the_rows(pg):
+def test_returning_returns_the_rows(pg):
     assert pg.execute(
         "INSERT INTO holds VALUES (5, 'r1', 'x', 1) RETURNING order_id, qty + 1"
     ).fetchall() == [("r1", 2)]
@@ -176,32 +180,32 @@
     ).fetchall() == [(5,)]
 
 
-def test_cancel_ends_the_statement_and_not_the_next(run, pg):
+def test_cancel_ends_the_running_statement_but_not_the_next(run, pg):
     for leaf in run.fleet.leaves.values():
         leaf.faults.slow = 3000
     try:
         threading.Timer(0.3, pg.cancel_safe).start()
-        begun = time.monotonic()
+        started_s = time.monotonic()
         with pytest.raises(psycopg.errors.QueryCanceled):
             pg.execute("SELECT count(*) FROM stock")
-        assert time.monotonic() - begun < 2
+        assert time.monotonic() - started_s < 2
     finally:
         for leaf in run.fleet.leaves.values():
             leaf.faults.slow = 1
-    pg.cancel_safe()  # nothing runs: nothing happens
+    pg.cancel_safe()  # has no effect while nothing runs
     time.sleep(0.1)
     assert pg.execute("SELECT count(*) FROM stock").fetchone()[0] > 0
 
 
-def test_statement_timeout_is_the_clients_time(run, pg):
+def test_statement_timeout_sets_the_deadline_of_the_query(run, pg):
     for leaf in run.fleet.leaves.values():
         leaf.faults.hang = True
     try:
         pg.execute("SET statement_timeout = '400ms'")
-        begun = time.monotonic()
+        started_s = time.monotonic()
         with pytest.raises(psycopg.OperationalError) as caught:
             pg.execute("SELECT count(*) FROM stock")
-        assert time.monotonic() - begun < 0.5
+        assert time.monotonic() - started_s < 0.5
         assert (
             caught.value.sqlstate == "53000"
             and "retry_after_ms" in caught.value.diag.message_detail
@@ -211,7 +215,7 @@
             leaf.faults.hang = False
 
 
-def test_settings_and_what_clients_ask_at_connect(pg):
+def test_settings_and_queries_that_drivers_send_at_connect(pg):
     assert pg.execute("SHOW server_version").fetchone() == ("15.0",)
     assert pg.execute("SHOW transaction isolation level").fetchone() == ("read committed",)
     assert "mothnotch" in pg.execute("SELECT version()").fetchone()[0]
@@ -229,12 +233,14 @@
 
 
 def test_asyncpg(run):
-    async def use():
+    async def run_statements():
         c = await asyncpg.connect(
             host=run.host, port=run.port, user="me", database="stock", ssl=False
         )
-        row = await c.fetchrow(COUNT)
-        assert row["count"] == expected(run, COUNT)[0][0] and isinstance(row["avg"], Decimal)
+        row = await c.fetchrow(AGGREGATE_QUERY)
+        assert row["count"] == expected(run, AGGREGATE_QUERY)[0][0] and isinstance(
+            row["avg"], Decimal
+        )
         rows = await c.fetch("SELECT bin, item, best_before FROM stock WHERE bin = $1", 7)
         assert all(r["bin"] == 7 for r in rows)
         statement = await c.prepare(
@@ -252,12 +258,12 @@
         with pytest.raises(asyncpg.UndefinedColumnError):
             await c.fetch("SELECT nope FROM stock")
         async with c.transaction():  # a portal with row limits
-            got = []
+            bins = []
             async for r in c.cursor("SELECT bin, lot FROM stock ORDER BY bin, lot", prefetch=100):
-                got.append(r["bin"])
-                if len(got) == 350:
+                bins.append(r["bin"])
+                if len(bins) == 350:
                     break
-        assert got == sorted(got) and len(got) == 350
+        assert bins == sorted(bins) and len(bins) == 350
         await c.executemany("INSERT INTO holds VALUES ($1, 'many', 'x', 1)", [(901,)])
         await c.reset()
         await c.close()
@@ -271,7 +277,7 @@
         assert counts == sorted(counts)
         await pool.close()
 
-    asyncio.run(use())
+    asyncio.run(run_statements())
 
 
 def test_pg8000(run):
@@ -301,17 +307,17 @@
 @pytest.mark.parametrize("driver", ["psycopg", "pg8000"])
 def test_sqlalchemy(run, driver):
     engine = sa.create_engine(run.url().replace("postgresql", f"postgresql+{driver}"))
-    meta = sa.MetaData()
+    metadata = sa.MetaData()
     stock = sa.Table(
         "stock",
-        meta,
+        metadata,
         sa.Column("bin", sa.Integer),
         sa.Column("item", sa.Text),
         sa.Column("qty", sa.Integer),
     )
     holds = sa.Table(
         "holds",
-        meta,
+        metadata,
         sa.Column("bin", sa.Integer),
         sa.Column("order_id", sa.Text),
         sa.Column("item", sa.Text),
@@ -327,12 +333,12 @@
         )
         c.execute(holds.insert().values(bin=1500, order_id=driver, item="x", qty=1))
     with engine.connect() as c:
-        found = (
+        quantities = (
             c.execute(sa.select(holds.c.qty).where(holds.c.bin == 1500, holds.c.order_id == driver))
             .scalars()
             .all()
         )
-        assert found == [1]
+        assert quantities == [1]
         top = c.execute(
             sa.select(stock.c.item, sa.func.max(stock.c.qty).label("m"))
             .group_by(stock.c.item)
@@ -344,10 +350,10 @@
 
 
 def test_sqlalchemy_over_asyncpg(run):
-    async def use():
+    async def run_statements():
         engine = create_async_engine(run.url().replace("postgresql", "postgresql+asyncpg"))
         async with engine.begin() as c:
-            found = (
+            count = (
                 await c.execute(
                     sa.text("SELECT count(*) FROM stock WHERE bin < :most"), {"most": 700}
                 )
@@ -358,14 +364,17 @@
                 await c.execute(sa.text("SELECT qty FROM holds WHERE bin = 1600"))
             ).scalars().all() == [1]
         await engine.dispose()
-        return found
+        return count
 
-    assert asyncio.run(use()) == expected(run, "SELECT count(*) FROM stock WHERE bin < 700")[0][0]
+    assert (
+        asyncio.run(run_statements())
+        == expected(run, "SELECT count(*) FROM stock WHERE bin < 700")[0][0]
+    )
 
 
-@pytest.mark.skipif(shutil.which("psql") is None, reason="no psql here")
+@pytest.mark.skipif(shutil.which("psql") is None, reason="psql is not installed")
 def test_psql(run):
-    done = subprocess.run(
+    process = subprocess.run(
         [
             "psql",
             run.url(),
@@ -384,4 +393,4 @@
         timeout=30,
         check=True,
     )
-    assert done.stdout.splitlines()[0] == str(expected(run, "SELECT count(*) FROM stock")[0][0])
+    assert process.stdout.splitlines()[0] == str(expected(run, "SELECT count(*) FROM stock")[0][0])
