--- a/mothnotch/decisions/balancer/placement.py
+++ b/mothnotch/decisions/balancer/placement.py
@@ -63,6 +63,7 @@
     def choose_first(self, part: Part, ready: list[Server]) -> Server:
         """Return the server for a part's first attempt; `ready` is in hash order."""
         home = ready[0]
+        # A failed trial would lose a part that must not be sent again.
         is_repeatable = part.query.query_class.idempotency is not Idempotency.NOT_IDEMPOTENT
         if self._is_due_for_trial(home, part.query.query_class) and is_repeatable:
             return home
