--- a/mothnotch/consul/api.py
+++ b/mothnotch/consul/api.py
@@ -30,7 +30,11 @@
     """A response that cannot be used."""
 
     def __init__(self, text: str, status: int = 0, retry_after_s: float = 0.0):
-        """Describe the error; `status` is the HTTP status, or 0 if it was 200."""
+        """Describe the error.
+
+        `status` is the HTTP status, or 0 if it was 200. `retry_after_s` is the delay that the
+        response asks for, or 0.
+        """
         super().__init__(text)
         self.status = status
         self.retry_after_s = retry_after_s
--- a/mothnotch/consul/doubt_resolver.py
+++ b/mothnotch/consul/doubt_resolver.py
@@ -10,7 +10,7 @@
 from mothnotch.decisions.leaf_membership.membership import LeafMembership
 from mothnotch.root.core import now_us
 
-# Timeout of a consistent query: while there is a doubt, changes of the list are delayed.
+# Timeout of a consistent query; short, because a doubt delays changes of the list.
 QUERY_TIMEOUT_S = 1.0
 # After a round that did not resolve the doubt, the next one follows after a pause that doubles each
 # time, so that a catalogue without a leader is not flooded with queries.
--- a/mothnotch/consul/registrar.py
+++ b/mothnotch/consul/registrar.py
@@ -52,7 +52,7 @@
         self._policy = RegistrationPolicy(len(conf.agents), root_index, conf.register.ttl_s, random)
 
     async def run(self) -> None:
-        """Maintain the registration until cancelled, then remove it."""
+        """Maintain the registration until cancelled, then remove it within `SHUTDOWN_TIMEOUT_S`."""
         try:
             while True:
                 step = self._policy.next_step()
--- a/mothnotch/consul/service_query.py
+++ b/mothnotch/consul/service_query.py
@@ -25,7 +25,7 @@
         self._user_agent = f"mothnotch/{root_index}"
 
     def agents(self) -> list[AgentClient]:
-        """Return a new client, not yet connected, for each agent."""
+        """Return a new client, not yet connected, for each agent; each has its own connection."""
         return [
             AgentClient.from_config(self._conf, address, self._network, self._user_agent)
             for address in self._conf.agents
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -4,8 +4,8 @@
 to arrive is used; `mothnotch.decisions.leaf_membership` merges the answers of all agents into one
 list. When an answer is in doubt, every agent is sent a consistent query. When every agent fails,
 the core is notified (WatchEventKind.FAILED) and the module's Subscribe determines when to query
-again. Bounds: `follow` + 1 requests at a time to one agent, the size of an answer, and the
-membership's maximum number of instances.
+again. Bounds: `follow` + 1 requests at a time to one agent, the size of an answer, and
+`MembershipSettings.max_instances` (10,000 unless set otherwise).
 """
 
 from collections.abc import Callable
--- a/mothnotch/decisions/endpoint_list.py
+++ b/mothnotch/decisions/endpoint_list.py
@@ -33,7 +33,7 @@
 
 
 def find_errors(leaves: Iterable[Leaf], cells: int) -> list[str]:
-    """Return an error message for each invalid entry of a list; empty if the list is valid."""
+    """Return the errors of a list, each naming the leaf and what is allowed; empty if valid."""
     errors = []
     seen = set()
     for leaf in leaves:
--- a/mothnotch/decisions/fleet/failure_detector.py
+++ b/mothnotch/decisions/fleet/failure_detector.py
@@ -35,7 +35,7 @@
 )
 
 # The part of the ack timeout that a helper waits: its nack has to arrive before the requester's
-# period ends, or the requester counts the nack as missing and lowers its own local health.
+# period ends, or the requester counts the nack as missing, which worsens its own health score.
 RELAY_WAIT_FRACTION = 0.8
 
 
--- a/mothnotch/decisions/fleet/membership.py
+++ b/mothnotch/decisions/fleet/membership.py
@@ -34,8 +34,9 @@
 )
 from mothnotch.decisions.fleet.update_queue import UpdateQueue
 
-# New incarnations that a root adopts within `name_conflict_window_us` because of a name conflict.
-# Without a limit, two roots that outbid each other would flood the fleet with claims.
+# New incarnations that a root adopts within `name_conflict_window_us` because of a name conflict;
+# after these, it leaves the name to the other root. Without a limit, two roots that outbid each
+# other would flood the fleet with claims.
 MAX_CONFLICT_INCARNATIONS = 3
 _CHANGE_KIND_BY_STATE = {
     ALIVE: ChangeKind.ALIVE,
@@ -149,7 +150,10 @@
             self.apply_claim(claim, now_us)
 
     def _refute(self, claim: Claim) -> None:
-        """Refute a claim that this root is suspect or gone, and lower its own local health."""
+        """Refute a claim that this root is suspect or gone, and worsen its own health score.
+
+        Such a claim may mean that this root is slow itself.
+        """
         if claim.state == ALIVE or claim.refutation < self.own_claim.refutation:
             return
         self._counts["refuted"] += 1
--- a/mothnotch/decisions/interface.py
+++ b/mothnotch/decisions/interface.py
@@ -185,7 +185,7 @@
     query_number: int  # parts refer to their query by this number
     class_name: str
     tenant: str | None
-    affinity_key: str | None  # queries with the same key go to the same servers
+    affinity_key: str | None  # queries with the same key prefer the same servers
     deadline_us: int  # when the client stops waiting for this try
     cost_us: int | None  # estimated cost of all parts
     is_retry: bool  # the client says that it sent the query before
--- a/mothnotch/decisions/memory_budget.py
+++ b/mothnotch/decisions/memory_budget.py
@@ -38,7 +38,7 @@
 
 
 class ResourcePool:
-    """Account for the holders of one resource of `limit` bytes."""
+    """Account for the holders of one resource, who have at most `limit` bytes together."""
 
     def __init__(self, limit: int):
         """Start with all of `limit` free."""
--- a/mothnotch/decisions/outcomes.py
+++ b/mothnotch/decisions/outcomes.py
@@ -26,7 +26,7 @@
 
     # The error is the answer of the query.
     QUERY = "query"
-    # The error ends one attempt; another holder may succeed.
+    # The error ends one attempt; another replica may succeed.
     SERVER = "server"
 
 
--- a/mothnotch/decisions/resource_limits.py
+++ b/mothnotch/decisions/resource_limits.py
@@ -13,9 +13,10 @@
 RESERVED_DESCRIPTORS = 16
 # Minimum number of descriptors to divide, so that clients and leaves get some at any limit.
 MIN_SHARED_DESCRIPTORS = 8
-# A graceful shutdown may take the longest deadline of a query, counted up to this bound.
+# A graceful shutdown may take as long as the longest deadline of a query, but of that no more than
+# this ...
 MAX_SHUTDOWN_DEADLINE_S = 3.0
-# It may take this much longer before the process is killed.
+# ... and this much in addition, before the process is killed.
 SHUTDOWN_SLACK_S = 0.7
 # Time before the kill by which all requests are answered. The root may stall for 0.15 s when
 # SIGTERM arrives, and again when it answers.
--- a/mothnotch/peers/codec.py
+++ b/mothnotch/peers/codec.py
@@ -53,7 +53,9 @@
 class InvalidMessageError(ValueError):
     """A message is invalid and has to be dropped.
 
-    `reason` is one of: short, long, stranger, version, fleet, tag, form; on a stream also stamp.
+    `reason` is one of: short, long (a wrong size); stranger (another magic number); version, fleet,
+    tag (a header field that does not match); form (a body that cannot be decoded); on a stream also
+    stamp (the answer to another stamp).
     """
 
     def __init__(self, reason: str):
--- a/mothnotch/peers/peer_discovery.py
+++ b/mothnotch/peers/peer_discovery.py
@@ -14,7 +14,7 @@
 
 # Metadata key under which a root registers HOST:PORT of its datagram socket.
 ADDRESS_META_KEY = "peers"
-# The delay until a new root is known to those that it does not reach through its own seeds.
+# How long a new root may stay unknown to a root whose own seeds do not lead to it.
 POLL_INTERVAL_S = 5.0
 POLL_TIMEOUT_S = 3.0
 
--- a/mothnotch/peers/wire.py
+++ b/mothnotch/peers/wire.py
@@ -118,4 +118,6 @@
             or len(claim.address) > MAX_ADDRESS_CHARS
             or claim.refutation < 0
         ):
-            raise ValueError("claim has a too long name or address, or a negative refutation")
+            raise ValueError(
+                "the name or address of a claim is too long, or its refutation is negative"
+            )
