--- a/mothnotch/studies/peers.py
+++ b/mothnotch/studies/peers.py
@@ -1,9 +1,8 @@
-"""Roots' membership in virtual time: any number of `SwimNode`s over links that lose, delay and cut, and
-what that shows.
+"""Simulate the membership protocol of roots over links that lose, delay and duplicate messages.
 
     python -m mothnotch.studies.peers [--seed N] [--quick]     # the tables of docs/peers.md
 
-Everything here is simulated: no socket, no process, a heap of events on one clock.
+The simulation uses no sockets and no processes: all events are in a heap, ordered by virtual time.
 """
 
 import argparse
@@ -26,45 +25,58 @@
 
 @dataclass
 class Link:
-    """What happens to messages from one root to another."""
+    """The faults and delays of messages from one root to another.
+
+    `loss` and `duplicate` are probabilities; a `cut` link delivers nothing.
+    """
 
     loss: float = 0.0
     delay_us: int = 500
     jitter_us: int = 500
     cut: bool = False
-    twice: float = 0.0
+    duplicate: float = 0.0
 
 
 @dataclass
 class Root:
+    """A simulated root and its connection to the fleet."""
+
     name: str
     address: str
-    number: int  # of its next life
+    number: int  # of its current incarnation; raised at each start
     codec: Codec = None
-    talk: object = None  # a GossipProtocol
+    protocol: object = None  # a GossipProtocol
     up: bool = False
     paused: bool = False
-    inbox: list = field(default_factory=list)  # what comes while it is paused
-    born: int = 0
-    called: str = ""  # what it calls itself, where that is not its name here
+    inbox: list = field(default_factory=list)  # messages received while it is paused
+    started_us: int = 0
+    announced_name: str = ""  # the name that it claims, if that is not `name`
 
     @property
     def swim(self):
-        return self.talk.swim
+        """The root's SwimNode."""
+        return self.protocol.swim
 
     @property
     def membership(self):
-        return self.talk.swim.membership
+        """The root's view of the members."""
+        return self.protocol.swim.membership
 
     @property
     def facts(self):
-        return self.talk.store
+        """The root's GossipStore."""
+        return self.protocol.store
 
 
 class Fleet:
-    """`links[a, b]` overrides `link`. `step` runs until a time; `log` keeps (time, root, news)."""
+    """Simulated roots, their links and the events between them, in virtual microseconds.
+
+    `links[a, b]` overrides `link` for messages from root a to root b. `log` is a list of (time,
+    root, membership change).
+    """
 
     def __init__(self, count, seed=1, link=None, settings=None):
+        """Create `count` roots that are not started."""
         self.random, self.settings, self.link = (
             random.Random(seed),
             settings or swim.SwimSettings(),
@@ -76,69 +88,86 @@
             f"r{n}": Root(f"r{n}", f"a{n}", 1, Codec("virtual", [KEY])) for n in range(count)
         }
         self.seeds = [root.address for root in list(self.roots.values())[:3]]
-        self.keep = False  # whether delivered messages are kept
+        self.record_deliveries = False  # whether delivered messages are recorded in `delivered`
 
-    # ---- what happens to roots ----
+    # ---- changes of roots and links ----
 
     def start(self, *names):
+        """Start roots, by default all, each as a new incarnation."""
         for name in names or self.roots:
             root = self.roots[name]
-            root.number, root.up, root.paused, root.inbox, root.born = (
+            root.number, root.up, root.paused, root.inbox, root.started_us = (
                 root.number + 1,
                 True,
                 False,
                 [],
                 self.now,
             )
-            life, drawn = (
+            incarnation, generator = (
                 (root.number, self.random.getrandbits(32)),
                 random.Random(self.random.random()),
             )
-            called = root.called or name
-            view = SwimNode(called, life, root.address, self.seeds, self.settings, drawn, self.now)
-            root.talk = GossipProtocol(
-                view,
-                GossipStore(called, life, GossipStoreSettings()),
+            announced_name = root.announced_name or name
+            node = SwimNode(
+                announced_name,
+                incarnation,
+                root.address,
+                self.seeds,
+                self.settings,
+                generator,
+                self.now,
+            )
+            root.protocol = GossipProtocol(
+                node,
+                GossipStore(announced_name, incarnation, GossipStoreSettings()),
                 GossipSettings(),
-                drawn,
+                generator,
                 self.now,
             )
-            self.wake(root)
+            self.schedule_wake(root)
 
     def kill(self, *names):
+        """Stop roots without notice to the others."""
         for name in names:
             self.roots[name].up = False
 
     def pause(self, *names):
+        """Suspend roots, as if their processes were not scheduled."""
         for name in names:
             self.roots[name].paused = True
 
     def resume(self, *names):
+        """Resume paused roots, which then process the messages received meanwhile."""
         for name in names:
             root = self.roots[name]
             root.paused = False
             for address, data in root.inbox:
-                self.give(root, address, data)
+                self.deliver(root, address, data)
             root.inbox = []
-            self.carry(root, root.talk.tick(self.now))
+            self.transmit(root, root.protocol.tick(self.now))
 
     def cut(self, names, both=True, on=True):
-        """Cuts the links out of a set of roots (and into it)."""
+        """Cut the links out of a set of roots, and with `both` also those into it.
+
+        With `on` False, restore them.
+        """
         inside = set(names)
         for a, b in itertools.permutations(self.roots, 2):
             if (a in inside) != (b in inside) and (both or a in inside):
                 self.links.setdefault((a, b), Link(**vars(self.link))).cut = on
 
-    # ---- time ----
+    # ---- events ----
 
-    def wake(self, root):
-        life, at = (
+    def schedule_wake(self, root):
+        """Schedule the first timer event of a root's current incarnation."""
+        incarnation_tag, at_us = (
             root.membership.own_claim.incarnation[1],
-            max(self.now + 1, int(root.talk.due_us()) + 1),
+            max(self.now + 1, int(root.protocol.due_us()) + 1),
         )
-        heapq.heappush(self.heap, (at, next(self.order), "wake", root, life))
+        heapq.heappush(self.heap, (at_us, next(self.order), "wake", root, incarnation_tag))
 
-    def carry(self, root, sends):
+    def transmit(self, root, sends):
+        """Send a root's messages over its links and record its membership changes."""
         for send in sends:
             data = root.codec.encode(send.envelope)
             self.sent, self.bytes = self.sent + 1, self.bytes + len(data)
@@ -148,120 +177,137 @@
             link = self.links.get((root.name, target.name), self.link)
             if link.cut or self.random.random() < link.loss:
                 continue
-            for _ in range(1 + (self.random.random() < link.twice)):
+            for _ in range(1 + (self.random.random() < link.duplicate)):
                 at = self.now + link.delay_us + int(self.random.random() * link.jitter_us)
                 heapq.heappush(
                     self.heap, (at, next(self.order), "message", target, (root.address, data))
                 )
-        self.news(root)
+        self.record_changes(root)
+
+    def start_sync(self, root):
+        """Start an exchange of full states, as over a TCP stream.
 
-    def exchange(self, root):
-        """An exchange of all that is held, as over a stream: what is lost there comes 200 ms later."""
-        partner = root.talk.choose_sync_partner(self.now)
+        Each lost message delays the exchange by 200 ms, as a retransmission does.
+        """
+        partner = root.protocol.choose_sync_partner(self.now)
         if partner is None:
             return
         target = next((r for r in self.roots.values() if r.address == partner[1]), None)
-        links = self.both_ways(root, target) if target is not None else []
-        sound = (
+        links = self.both_links(root, target) if target is not None else []
+        reachable = (
             target is not None
             and target.up
             and not target.paused
             and not any(link.cut for link in links)
         )
-        late = sum(200_000 for _ in range(4) for link in links if self.random.random() < link.loss)
-        took = min(
-            2 * SECOND, 2 * sum(link.delay_us for link in links) + late if sound else 2 * SECOND
+        retransmission_us = sum(
+            200_000 for _ in range(4) for link in links if self.random.random() < link.loss
+        )
+        took_us = min(
+            2 * SECOND,
+            2 * sum(link.delay_us for link in links) + retransmission_us
+            if reachable
+            else 2 * SECOND,
         )
         heapq.heappush(
             self.heap,
             (
-                self.now + took,
+                self.now + took_us,
                 next(self.order),
                 "whole",
                 root,
-                (took < 2 * SECOND, target, self.now),
+                (took_us < 2 * SECOND, target, self.now),
             ),
         )
 
-    def both_ways(self, root, target):
+    def both_links(self, root, target):
+        """Return the links between two roots, in both directions."""
         return [
             self.links.get((a.name, b.name), self.link) for a, b in ((root, target), (target, root))
         ]
 
-    def exchanged(self, root, done, target, began):
+    def finish_sync(self, root, done, target, began):
+        """Exchange the full states at the end of a sync; fail it if the target is unreachable."""
         if (
             not done
             or not target.up
             or target.paused
-            or any(link.cut for link in self.both_ways(root, target))
+            or any(link.cut for link in self.both_links(root, target))
         ):
-            root.talk.on_sync_failed(self.now)
+            root.protocol.on_sync_failed(self.now)
             return
-        hello = root.talk.full_state(began)
-        if not target.talk.merge_full_state(self.now, hello):
+        request = root.protocol.full_state(began)
+        if not target.protocol.merge_full_state(self.now, request):
             return
-        ours = target.talk.full_state(self.now, hello.stamp)
-        root.talk.merge_full_state(self.now, ours)
-        theirs = root.talk.full_state(self.now, ours.stamp)
-        target.talk.merge_full_state(self.now, theirs)
+        response = target.protocol.full_state(self.now, request.stamp)
+        root.protocol.merge_full_state(self.now, response)
+        confirmation = root.protocol.full_state(self.now, response.stamp)
+        target.protocol.merge_full_state(self.now, confirmation)
         self.sent, self.bytes = (
             self.sent + 3,
-            self.bytes + sum(len(root.codec.encode_full_state(w)) for w in (hello, ours, theirs)),
+            self.bytes
+            + sum(
+                len(root.codec.encode_full_state(state))
+                for state in (request, response, confirmation)
+            ),
         )
-        self.news(root)
-        self.news(target)
+        self.record_changes(root)
+        self.record_changes(target)
 
-    def news(self, root):
-        for news in root.swim.take_changes():
-            self.log.append((self.now, root.name, news))
+    def record_changes(self, root):
+        """Append a root's new membership changes to the log."""
+        for change in root.swim.take_changes():
+            self.log.append((self.now, root.name, change))
 
-    def give(self, root, address, data):
+    def deliver(self, root, address, data):
+        """Let a root process a received message, or record why it dropped it."""
         try:
             envelope = root.codec.decode(data)
-        except InvalidMessageError as dropped:
-            self.dropped.append((root.name, dropped.reason))
+        except InvalidMessageError as error:
+            self.dropped.append((root.name, error.reason))
             return
-        if self.keep:
+        if self.record_deliveries:
             self.delivered.append((self.now, root.name, address, envelope.message))
-        self.carry(root, root.talk.on_envelope(self.now, address, envelope))
+        self.transmit(root, root.protocol.on_envelope(self.now, address, envelope))
 
-    def step(self, until):
-        while self.heap and self.heap[0][0] <= until:
-            self.now, _, kind, root, what = heapq.heappop(self.heap)
+    def step(self, end_us):
+        """Process all events up to the time `end_us`."""
+        while self.heap and self.heap[0][0] <= end_us:
+            self.now, _, kind, root, payload = heapq.heappop(self.heap)
             if kind == "wake":
-                if root.up and root.membership.own_claim.incarnation[1] == what:
+                if root.up and root.membership.own_claim.incarnation[1] == payload:
                     if not root.paused:
-                        self.carry(root, root.talk.tick(self.now))
-                        self.exchange(root)
+                        self.transmit(root, root.protocol.tick(self.now))
+                        self.start_sync(root)
                     heapq.heappush(
                         self.heap,
                         (
                             max(
                                 self.now + 1,
-                                int(root.talk.due_us()) + 1
+                                int(root.protocol.due_us()) + 1
                                 if not root.paused
                                 else self.now + 100_000,
                             ),
                             next(self.order),
                             "wake",
                             root,
-                            what,
+                            payload,
                         ),
                     )
             elif kind == "whole":
                 if root.up and not root.paused:
-                    self.exchanged(root, *what)
+                    self.finish_sync(root, *payload)
             elif root.up and root.paused:
-                if len(root.inbox) < 1000:  # as a socket's buffer does
-                    root.inbox.append(what)
+                if len(root.inbox) < 1000:  # bounded, like a socket's buffer
+                    root.inbox.append(payload)
             elif root.up:
-                self.give(root, *what)
-        self.now = until
+                self.deliver(root, *payload)
+        self.now = end_us
 
-    # ---- what is believed ----
+    # ---- views of the roots ----
 
-    def states(self, name):
-        """What each live root holds a name for."""
+    def states_of(self, name):
+        """Return the state of the member `name` in the view of each other running root."""
         return {
             r.name: (
                 r.membership.members[name].claim.state if name in r.membership.members else None
@@ -270,16 +316,17 @@
             if r.up and r.name != name
         }
 
-    def agreed(self, sure=True):
-        """Whether all that are up hold each other, and nobody else, for there, in the life that
-        each has; `sure`: and nobody under suspicion.
+    def views_agree(self, no_suspects=True):
+        """Return whether the views of all running roots match the roots that are running.
+
+        The incarnations must match too. With `no_suspects`, a suspected member counts as missing.
         """
         up = {r.name: r.membership.own_claim.incarnation for r in self.roots.values() if r.up}
         return all(
             {
                 n: r.membership.members[n].claim.incarnation
                 for n in r.membership.live_members()
-                if not sure or r.membership.members[n].claim.state == swim.ALIVE
+                if not no_suspects or r.membership.members[n].claim.state == swim.ALIVE
             }
             == {n: v for n, v in up.items() if n != r.name}
             and len(r.membership.live_members()) == len(up) - 1
@@ -287,28 +334,31 @@
             if r.up
         )
 
-    def until(self, true, most_us, step_us=50_000):
-        """Runs until something holds; gives how long that took, or None."""
+    def run_until(self, condition, timeout_us, step_us=50_000):
+        """Run until `condition()` is true; return how long that took, or None after the timeout."""
         began = self.now
-        while self.now - began < most_us:
-            if true():
+        while self.now - began < timeout_us:
+            if condition():
                 return self.now - began
             self.step(self.now + step_us)
         return None
 
 
-def joined(count, seed, loss=0.0, settings=None):
+def joined_fleet(count, seed, loss=0.0, settings=None):
+    """Return a fleet whose roots have all joined, and how long that took (None: timeout)."""
     fleet = Fleet(count, seed, Link(loss=loss), settings)
     fleet.start()
-    took = fleet.until(lambda: fleet.agreed(sure=False), 300 * SECOND)
-    return fleet, took
+    join_us = fleet.run_until(lambda: fleet.views_agree(no_suspects=False), 300 * SECOND)
+    return fleet, join_us
+
 
+def measure_spread(count, seed, loss, cut_s=0):
+    """Return the microseconds until all roots know a fact that one root publishes, or None.
 
-def spread(count, seed, loss, cut_s=0):
-    """One root states a fact (while half is cut off, for so long): seconds until all know it, from
-    then or the cut's end.
+    With `cut_s`, half of the roots are cut off for that long from the publication on, and the time
+    is measured from the end of the cut.
     """
-    fleet, _ = joined(count, seed)
+    fleet, _ = joined_fleet(count, seed)
     fleet.link.loss = loss
     half = list(fleet.roots)[: count // 2]
     if cut_s:
@@ -317,58 +367,65 @@
     if cut_s:
         fleet.step(fleet.now + cut_s * SECOND)
         fleet.cut(half, on=False)
-    return fleet.until(
+    return fleet.run_until(
         lambda: all("r0" in r.facts.known_facts("demand", fleet.now) for r in fleet.roots.values()),
         300 * SECOND,
     )
 
 
-def detection(count, seed, loss):
-    """One root killed: seconds until the first and until all others hold it for gone, and bytes a
-    second a root.
+def measure_detection(count, seed, loss):
+    """Kill one root and measure its detection.
+
+    Return four values: the microseconds until all roots have joined; those from the kill until the
+    first root, and until every root, regards the killed one as gone (None: timeout); and the bytes
+    sent per second and root.
     """
-    fleet, took = joined(count, seed, loss)
+    fleet, join_us = joined_fleet(count, seed, loss)
     before, began = fleet.bytes, fleet.now
     fleet.step(fleet.now + 20 * SECOND)
     rate = (fleet.bytes - before) / (fleet.now - began) * SECOND / count
     victim = f"r{count - 1}"
     fleet.kill(victim)
 
-    def gone(every):
-        held = [state in (swim.GONE, None) for state in fleet.states(victim).values()]
-        return all(held) if every else any(held)
+    def is_gone(every):
+        verdicts = [state in (swim.GONE, None) for state in fleet.states_of(victim).values()]
+        return all(verdicts) if every else any(verdicts)
+
+    first = fleet.run_until(lambda: is_gone(False), 120 * SECOND)
+    rest = fleet.run_until(lambda: is_gone(True), 120 * SECOND)
+    return join_us, first, None if rest is None or first is None else first + rest, rate
 
-    first = fleet.until(lambda: gone(False), 120 * SECOND)
-    rest = fleet.until(lambda: gone(True), 120 * SECOND)
-    return took, first, None if rest is None or first is None else first + rest, rate
 
+def count_false_detections(count, seed, span_s, loss, jitter_us, paused=0, health=True):
+    """Return how often running roots were wrongly declared gone and how often suspected.
 
-def wrongly_gone(count, seed, span_s, loss, jitter_us, paused=0, health=True):
-    """Sound roots held for gone by anybody, and suspicions, in a span: with loss, jitter and some
-    roots that stand still for half of each second.
+    During `span_s` seconds, messages are lost and delayed, and the first `paused` roots are paused
+    repeatedly for 0.3 to 1.5 s; verdicts about these are not counted.
     """
     fleet = Fleet(count, seed, Link(loss=0.0), swim.SwimSettings(local_health=health))
     fleet.start()
-    fleet.until(fleet.agreed, 120 * SECOND)
+    fleet.run_until(fleet.views_agree, 120 * SECOND)
     fleet.link.loss, fleet.link.jitter_us = loss, jitter_us
-    slow = list(fleet.roots)[:paused]
+    paused_names = list(fleet.roots)[:paused]
     fleet.log.clear()
     end = fleet.now + span_s * SECOND
     while fleet.now < end:
-        if slow:
-            fleet.pause(*slow)
+        if paused_names:
+            fleet.pause(*paused_names)
             fleet.step(fleet.now + int(fleet.random.uniform(0.3, 1.5) * SECOND))
-            fleet.resume(*slow)
+            fleet.resume(*paused_names)
         fleet.step(fleet.now + SECOND // 2)
-    sound = [news for _, _, news in fleet.log if news.name not in slow]
-    return sum(n.kind == "gone" for n in sound), sum(n.kind == "suspect" for n in sound)
+    changes = [change for _, _, change in fleet.log if change.name not in paused_names]
+    return sum(n.kind == "gone" for n in changes), sum(n.kind == "suspect" for n in changes)
 
 
 def seconds(us):
+    """Format a time in seconds; infinity stands for a timeout."""
     return "not in time" if us == math.inf else f"{us / SECOND:.1f}"
 
 
 def main():
+    """Run the simulations and print the tables."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--quick", action="store_true")
@@ -380,15 +437,16 @@
     print("| --- | --- | --- | --- | --- | --- |")
     for count in counts:
         for loss in (0.0, 0.1, 0.3):
-            found = [
-                detection(count, options.seed + k, loss) for k in range(seeds if count < 100 else 1)
+            results = [
+                measure_detection(count, options.seed + k, loss)
+                for k in range(seeds if count < 100 else 1)
             ]
-            middle = [
-                statistics.median([math.inf if f[k] is None else f[k] for f in found])
+            medians = [
+                statistics.median([math.inf if times[k] is None else times[k] for times in results])
                 for k in range(4)
             ]
             print(
-                f"| {count} | {loss:.0%} | {' | '.join(seconds(m) for m in middle[:3])} | {middle[3]:.0f} |"
+                f"| {count} | {loss:.0%} | {' | '.join(seconds(m) for m in medians[:3])} | {medians[3]:.0f} |"
             )
     print()
     print(
@@ -396,12 +454,15 @@
     )
     print("| --- | --- | --- | --- | --- |")
     for count in counts:
-        found = [
-            [spread(count, options.seed + k, loss, cut) for k in range(seeds if count < 100 else 1)]
+        results = [
+            [
+                measure_spread(count, options.seed + k, loss, cut)
+                for k in range(seeds if count < 100 else 1)
+            ]
             for loss, cut in ((0.0, 0), (0.1, 0), (0.3, 0), (0.0, 30))
         ]
-        most = [max(math.inf if x is None else x for x in f) for f in found]
-        print(f"| {count} | {' | '.join(seconds(m) for m in most)} |")
+        worst = [max(math.inf if x is None else x for x in times) for times in results]
+        print(f"| {count} | {' | '.join(seconds(m) for m in worst)} |")
     print()
     print(
         "| roots | standing still by turns | local health | sound held for gone | suspicions of sound ones |"
@@ -412,7 +473,9 @@
         ((10, 0), (10, 2)) if options.quick else ((10, 0), (30, 0), (10, 2), (30, 4))
     ):
         for health in (True, False):
-            gone, suspected = wrongly_gone(count, options.seed, span, 0.3, 200_000, paused, health)
+            gone, suspected = count_false_detections(
+                count, options.seed, span, 0.3, 200_000, paused, health
+            )
             print(f"| {count} | {paused} | {'on' if health else 'off'} | {gone} | {suspected} |")
 
 
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -14,7 +14,7 @@
 from mothnotch.decisions.fleet.gossip_store import GossipStore, GossipStoreSettings
 from mothnotch.decisions.fleet.swim_node import SwimNode
 from mothnotch.peers import codec
-from mothnotch.studies.peers import KEY, SECOND, Link, joined
+from mothnotch.studies.peers import KEY, SECOND, Link, joined_fleet
 
 OLD_INCARNATION, NEW_INCARNATION = (1, 7), (2, 3)
 
@@ -147,53 +147,54 @@
 
 
 def test_a_dead_root_is_declared_gone_and_rejoins_with_a_new_incarnation():
-    fleet, joined_after = joined(10, 1)
+    fleet, joined_after = joined_fleet(10, 1)
     assert joined_after < 3 * SECOND
     fleet.kill("r4")
     assert (
-        fleet.until(lambda: set(fleet.states("r4").values()) == {"gone"}, 30 * SECOND) < 12 * SECOND
+        fleet.run_until(lambda: set(fleet.states_of("r4").values()) == {"gone"}, 30 * SECOND)
+        < 12 * SECOND
     )
     fleet.start("r4")
-    assert fleet.until(fleet.agreed, 30 * SECOND) < 5 * SECOND
+    assert fleet.run_until(fleet.views_agree, 30 * SECOND) < 5 * SECOND
 
 
 def test_a_root_restarted_five_times_within_a_suspicion_is_known_by_its_last_incarnation():
-    fleet, _ = joined(5, 2)
+    fleet, _ = joined_fleet(5, 2)
     for _ in range(5):
         fleet.kill("r2")
         fleet.step(fleet.now + SECOND // 4)
         fleet.start("r2")
         fleet.step(fleet.now + SECOND // 4)
-    assert fleet.until(fleet.agreed, 30 * SECOND) < 5 * SECOND
+    assert fleet.run_until(fleet.views_agree, 30 * SECOND) < 5 * SECOND
     assert not any(change.kind == "gone" for _, _, change in fleet.log)
 
 
 def test_a_root_with_a_lower_number_adopts_one_above_its_old_incarnation():
-    fleet, _ = joined(4, 3)
+    fleet, _ = joined_fleet(4, 3)
     fleet.kill("r1")
     # The clock was set back, so the new process starts with a lower number.
     fleet.roots["r1"].number = 0
     fleet.roots["r1"].number -= 1
     fleet.start("r1")
-    assert fleet.until(fleet.agreed, 60 * SECOND) < 10 * SECOND
+    assert fleet.run_until(fleet.views_agree, 60 * SECOND) < 10 * SECOND
     assert fleet.roots["r1"].membership.own_claim.incarnation[0] > 2
 
 
 def test_two_roots_that_swap_addresses_are_found_at_their_new_ones():
-    fleet, _ = joined(6, 4)
+    fleet, _ = joined_fleet(6, 4)
     a, b = fleet.roots["r3"], fleet.roots["r4"]
     fleet.kill("r3", "r4")
     a.address, b.address = b.address, a.address
     fleet.start("r3", "r4")
-    assert fleet.until(fleet.agreed, 30 * SECOND) < 10 * SECOND
+    assert fleet.run_until(fleet.views_agree, 30 * SECOND) < 10 * SECOND
     assert fleet.roots["r0"].membership.members["r3"].claim.address == a.address
 
 
 def test_both_roots_with_one_name_report_the_conflict():
-    fleet, _ = joined(4, 5)
+    fleet, _ = joined_fleet(4, 5)
     fleet.roots["twin"] = copy.copy(fleet.roots["r2"])
     twin = fleet.roots["twin"]
-    twin.name, twin.called, twin.address, twin.number = "twin", "r2", "elsewhere", 9
+    twin.name, twin.announced_name, twin.address, twin.number = "twin", "r2", "elsewhere", 9
     fleet.start("twin")
     fleet.step(fleet.now + 60 * SECOND)
     assert {
@@ -202,19 +203,19 @@
 
 
 def test_a_root_paused_for_10_s_suspects_nobody_and_its_stale_messages_are_recognized():
-    fleet, _ = joined(5, 6)
+    fleet, _ = joined_fleet(5, 6)
     fleet.pause("r1")
     fleet.step(fleet.now + 10 * SECOND)
-    assert set(fleet.states("r1").values()) == {"gone"}
+    assert set(fleet.states_of("r1").values()) == {"gone"}
     log_length = len(fleet.log)
-    fleet.keep = True
+    fleet.record_deliveries = True
     fleet.resume("r1")
     fleet.step(fleet.now + 5 * SECOND)
     changes = [change for _, at, change in fleet.log[log_length:] if at == "r1"]
     assert changes[0].kind == "paused" and not any(
         change.kind in ("suspect", "gone") for change in changes
     )
-    assert fleet.until(fleet.agreed, 20 * SECOND) is not None
+    assert fleet.run_until(fleet.views_agree, 20 * SECOND) is not None
     # Its first messages after the pause echo stamps from before it, so the receivers compute an age
     # of about 10 s at most.
     first = [
@@ -226,34 +227,34 @@
 
 
 def test_a_partition_of_half_the_roots_for_a_minute_heals():
-    fleet, _ = joined(6, 7)
+    fleet, _ = joined_fleet(6, 7)
     fleet.cut(["r0", "r1", "r2"])
     fleet.step(fleet.now + 60 * SECOND)
-    assert fleet.states("r5")["r0"] in ("gone", None) and fleet.states("r5")["r4"] == "alive"
+    assert fleet.states_of("r5")["r0"] in ("gone", None) and fleet.states_of("r5")["r4"] == "alive"
     fleet.cut(["r0", "r1", "r2"], on=False)
-    assert fleet.until(fleet.agreed, 60 * SECOND) < 20 * SECOND
+    assert fleet.run_until(fleet.views_agree, 60 * SECOND) < 20 * SECOND
 
 
 def test_a_root_that_nobody_hears_is_isolated_and_declares_nobody_gone():
-    fleet, _ = joined(6, 8)
+    fleet, _ = joined_fleet(6, 8)
     fleet.cut(["r5"], both=False)
     fleet.step(fleet.now + 30 * SECOND)
-    assert set(fleet.states("r5").values()) <= {"gone", None}
+    assert set(fleet.states_of("r5").values()) <= {"gone", None}
     assert fleet.roots["r5"].swim.health.is_isolated
     assert [change for _, at, change in fleet.log if at == "r5" and change.kind == "gone"] == []
     fleet.cut(["r5"], both=False, on=False)
-    assert fleet.until(fleet.agreed, 60 * SECOND) < 20 * SECOND
+    assert fleet.run_until(fleet.views_agree, 60 * SECOND) < 20 * SECOND
 
 
 def test_a_one_way_cut_between_two_roots_makes_neither_gone():
-    fleet, _ = joined(5, 9)
+    fleet, _ = joined_fleet(5, 9)
     fleet.links["r1", "r2"] = Link(cut=True)
     fleet.step(fleet.now + 60 * SECOND)
     assert not any(change.kind == "gone" for _, _, change in fleet.log)
 
 
 def test_no_live_root_is_declared_gone_under_30_percent_loss_and_jitter():
-    fleet, _ = joined(10, 10)
+    fleet, _ = joined_fleet(10, 10)
     fleet.link.loss, fleet.link.jitter_us = 0.3, 200_000
     fleet.step(fleet.now + 600 * SECOND)
     assert [change for _, _, change in fleet.log if change.kind == "gone"] == []
@@ -575,14 +576,14 @@
 
 
 def test_key_rotation_root_by_root_keeps_all_members_alive():
-    fleet, _ = joined(4, 11)
+    fleet, _ = joined_fleet(4, 11)
     for keys in ([KEY, NEW_KEY], [NEW_KEY, KEY], [NEW_KEY]):
         for root in fleet.roots.values():
             root.codec = codec.Codec("virtual", keys)
             fleet.step(fleet.now + SECOND)
     assert (
         fleet.dropped == []
-        and fleet.agreed()
+        and fleet.views_agree()
         and not any(change.kind in ("suspect", "gone") for _, _, change in fleet.log)
     )
 
@@ -600,16 +601,18 @@
 
 @pytest.mark.parametrize("loss", [0.0, 0.3])
 def test_a_fact_reaches_all_roots_and_a_partition_soon_after_it_heals(loss):
-    fleet, _ = joined(8, 12)
+    fleet, _ = joined_fleet(8, 12)
     fleet.link.loss = loss
     fleet.roots["r0"].facts.publish("demand", b"1", 60 * SECOND, fleet.now)
-    assert fleet.until(lambda: len(roots_that_know(fleet, b"1")) == 8, 30 * SECOND) < 5 * SECOND
+    assert fleet.run_until(lambda: len(roots_that_know(fleet, b"1")) == 8, 30 * SECOND) < 5 * SECOND
     fleet.cut(["r0", "r1", "r2"])
     fleet.roots["r0"].facts.publish("demand", b"2", 60 * SECOND, fleet.now)
     fleet.step(fleet.now + 20 * SECOND)
     assert roots_that_know(fleet, b"2") == {"r0", "r1", "r2"}
     fleet.cut(["r0", "r1", "r2"], on=False)
-    assert fleet.until(lambda: len(roots_that_know(fleet, b"2")) == 8, 60 * SECOND) < 20 * SECOND
+    assert (
+        fleet.run_until(lambda: len(roots_that_know(fleet, b"2")) == 8, 60 * SECOND) < 20 * SECOND
+    )
 
 
 def roots_that_know(fleet, value):
@@ -623,7 +626,7 @@
 
 
 def test_fact_ages_in_a_fleet_are_never_understated():
-    fleet, _ = joined(6, 13)
+    fleet, _ = joined_fleet(6, 13)
     fleet.link.jitter_us = 100_000
     fleet.roots["r0"].facts.publish("demand", b"1", 60 * SECOND, fleet.now)
     published_at = fleet.now
@@ -639,13 +642,15 @@
 
 
 def test_facts_of_a_restarted_root_disappear_with_its_old_incarnation():
-    fleet, _ = joined(5, 14)
+    fleet, _ = joined_fleet(5, 14)
     fleet.roots["r0"].facts.publish("demand", b"old", 300 * SECOND, fleet.now)
     fleet.step(fleet.now + 5 * SECOND)
     assert len(roots_that_know(fleet, b"old")) == 5
     fleet.kill("r0")
     fleet.start("r0")
-    assert fleet.until(lambda: roots_that_know(fleet, b"old") == set(), 30 * SECOND) < 10 * SECOND
+    assert (
+        fleet.run_until(lambda: roots_that_know(fleet, b"old") == set(), 30 * SECOND) < 10 * SECOND
+    )
     fleet.step(fleet.now + 30 * SECOND)
     assert roots_that_know(fleet, b"old") == set()
 
@@ -707,7 +712,7 @@
 
 def test_full_state_sync_speeds_up_recovery_from_a_partition():
     """Facts change on both sides of a partition, and digests cover only 16 origins per second."""
-    fleet, _ = joined(30, 4)
+    fleet, _ = joined_fleet(30, 4)
     half = list(fleet.roots)[:15]
     fleet.cut(half)
     fleet.step(fleet.now + 20 * SECOND)
@@ -725,5 +730,5 @@
             for peer in fleet.roots.values()
         )
 
-    assert fleet.until(all_know, 60 * SECOND) < 40 * SECOND
-    assert sum(peer.talk.counts["wholes"] for peer in fleet.roots.values()) >= 30
+    assert fleet.run_until(all_know, 60 * SECOND) < 40 * SECOND
+    assert sum(peer.protocol.counts["wholes"] for peer in fleet.roots.values()) >= 30
