--- a/mothnotch/standins/consul.py
+++ b/mothnotch/standins/consul.py
@@ -104,7 +104,7 @@
 
     # ---- changes ----
 
-    def bump(self, *names):
+    def advance_index(self, *names):
         """Advance the index of the catalogue and of these services, and wake blocking queries."""
         self.index += 1
         for name in names:
@@ -118,15 +118,16 @@
         return [s["Service"] for (n, _), s in self.services.items() if n == node]
 
     def register_node(self, node, address, meta=None):
-        before = self.nodes.get(node)
-        if before is None or before["Address"] != address:
-            index = self.bump(*self.service_names(node))
+        """Register a node; the same address again changes nothing."""
+        previous = self.nodes.get(node)
+        if previous is None or previous["Address"] != address:
+            index = self.advance_index(*self.service_names(node))
             self.nodes[node] = {
                 "Node": node,
                 "Address": address,
                 "Datacenter": "dc1",
                 "Meta": meta or {},
-                "CreateIndex": before["CreateIndex"] if before else index,
+                "CreateIndex": previous["CreateIndex"] if previous else index,
                 "ModifyIndex": index,
             }
 
@@ -145,13 +146,13 @@
             "Weights": dict(weights or {"Passing": 1, "Warning": 1}),
             "Namespace": "default",
         }
-        before = self.services.get((node, id))
-        if before is not None and all(before[k] == v for k, v in new.items()):
+        previous = self.services.get((node, id))
+        if previous is not None and all(previous[k] == v for k, v in new.items()):
             return
-        index = self.bump(*{name, *([before["Service"]] if before else ())})
+        index = self.advance_index(*{name, *([previous["Service"]] if previous else ())})
         self.services[node, id] = {
             **new,
-            "CreateIndex": before["CreateIndex"] if before else index,
+            "CreateIndex": previous["CreateIndex"] if previous else index,
             "ModifyIndex": index,
         }
 
@@ -162,7 +163,7 @@
         for key in [k for k, c in self.checks.items() if k[0] == node and c["ServiceID"] == id]:
             del self.checks[key]
             self.ttl.pop(key, None)
-        self.bump(found["Service"])
+        self.advance_index(found["Service"])
         return True
 
     def deregister_node(self, node):
@@ -173,15 +174,18 @@
             del self.checks[key]
             self.ttl.pop(key, None)
         if self.nodes.pop(node, None) is not None:
-            self.bump(*names)
+            self.advance_index(*names)
 
     def set_check(self, node, check, status, name="", service_id="", output=""):
         """Set the status of a check of a node or of a service; the same status changes nothing."""
-        before = self.checks.get((node, check))
+        previous = self.checks.get((node, check))
         service = self.services.get((node, service_id), {}).get("Service", "") if service_id else ""
-        if before is not None and (before["Status"], before["ServiceID"]) == (status, service_id):
+        if previous is not None and (previous["Status"], previous["ServiceID"]) == (
+            status,
+            service_id,
+        ):
             return
-        index = self.bump(*([service] if service_id else self.service_names(node)))
+        index = self.advance_index(*([service] if service_id else self.service_names(node)))
         self.checks[node, check] = {
             "Node": node,
             "CheckID": check,
@@ -191,7 +195,7 @@
             "Output": output,
             "ServiceID": service_id,
             "ServiceName": service,
-            "CreateIndex": before["CreateIndex"] if before else index,
+            "CreateIndex": previous["CreateIndex"] if previous else index,
             "ModifyIndex": index,
         }
 
@@ -199,9 +203,12 @@
         found = self.checks.pop((node, check), None)
         self.ttl.pop((node, check), None)
         if found:
-            self.bump(*([found["ServiceName"]] if found["ServiceID"] else self.service_names(node)))
+            self.advance_index(
+                *([found["ServiceName"]] if found["ServiceID"] else self.service_names(node))
+            )
 
     def maintenance(self, node, on, id="", reason=""):
+        """Switch the maintenance mode of a node, or of a service, on or off."""
         check = f"_service_maintenance:{id}" if id else "_node_maintenance"
         if on:
             self.set_check(node, check, "critical", "Maintenance Mode", id, reason)
@@ -288,7 +295,7 @@
         self.faults, self.snapshot, self.up, self.scope = Faults(), None, False, None
         self.local = {}  # service id -> this agent's own registration, for anti-entropy
         self.counts = {"requests": 0, "answers": 0, "bytes": 0}
-        self.requests_by = {}  # user agent -> number of requests
+        self.requests_by_client = {}  # user agent -> number of requests
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         """Run the agent's process until `stop`."""
@@ -309,6 +316,7 @@
                         await listener.aclose()
 
     def stop(self):
+        """End the agent's process: its connections are closed and new ones refused."""
         self.scope.cancel()
 
     def set_lag(self, on):
@@ -329,7 +337,7 @@
         self.faults.lag = on
 
     @property
-    def known(self):
+    def visible_catalogue(self):
         """The catalogue as this agent sees it."""
         return Catalogue(**self.snapshot) if self.snapshot else self.catalogue
 
@@ -345,6 +353,7 @@
     # ---- HTTP ----
 
     async def serve_client(self, stream):
+        """Serve the requests of one connection."""
         http = h11.Connection(h11.SERVER)
         try:
             while True:
@@ -382,8 +391,8 @@
             {},
         )
         self.counts["requests"] += 1
-        who = headers.get("user-agent", "")
-        self.requests_by[who] = self.requests_by.get(who, 0) + 1
+        user_agent = headers.get("user-agent", "")
+        self.requests_by_client[user_agent] = self.requests_by_client.get(user_agent, 0) + 1
         if self.faults.silent:
             await trio.sleep_forever()
         try:
@@ -394,7 +403,7 @@
                     403, "Permission denied: token with AccessorID '00000000' lacks permission"
                 )
             value, extra_headers, answer = await self.route(
-                request.method.decode(), unquote(parts.path), query, body, who
+                request.method.decode(), unquote(parts.path), query, body, user_agent
             )
             status = 200
             out = json.dumps(value).encode() if value is not None else b""
@@ -407,6 +416,7 @@
         return await self.send(stream, http, status, out, extra_headers, answer)
 
     async def send(self, stream, http, status, out, extra_headers, answer):
+        """Send a response, corrupted by the fault `garbage`, and record it unless it is corrupted."""
         garbage = self.faults.garbage if status == 200 else ""
         if garbage == "json":
             out = out[: len(out) // 2]
@@ -442,7 +452,7 @@
 
     # ---- routes ----
 
-    async def route(self, method, path, query, body, who):
+    async def route(self, method, path, query, body, user_agent):
         """Return a request's (value, headers, fields of its ServiceAnswer or None).
 
         The handler is the method `METHOD_WORD_WORD` for the method and the path after /v1.
@@ -455,7 +465,7 @@
             raise InvalidRequestError(
                 405 if method not in ("GET", "PUT") else 404, f"Invalid URL path: {method} {path}"
             )
-        return await handler(words[3:], query, body, who)
+        return await handler(words[3:], query, body, user_agent)
 
     async def wait_for_change(self, name, query):
         """Wait as a blocking query does, and return the headers of its answer."""
@@ -471,16 +481,20 @@
             wait = min(
                 MAX_WAIT_S, parse_duration(query["wait"]) if query.get("wait") else DEFAULT_WAIT_S
             )
-            life = self.known.life  # a blocking query ends when the servers lose their state
+            # a blocking query ends when the servers lose their state
+            life = self.visible_catalogue.life
             with trio.move_on_after(wait * 17 / 16):
-                while self.known.service_index(name) <= index and self.known.life == life:
+                while (
+                    self.visible_catalogue.service_index(name) <= index
+                    and self.visible_catalogue.life == life
+                ):
                     if self.snapshot:
                         await trio.sleep(0.05)
                     else:
                         await self.catalogue.changed.wait()
         is_lagging = bool(self.snapshot or self.faults.no_leader)
         headers = {
-            "X-Consul-Index": str(self.known.service_index(name)),
+            "X-Consul-Index": str(self.visible_catalogue.service_index(name)),
             "X-Consul-KnownLeader": str(not is_lagging).lower(),
             "X-Consul-LastContact": "60000" if is_lagging else "0",
         }
@@ -488,10 +502,10 @@
             headers["X-Consul-Results-Filtered-By-ACLs"] = "true"
         return headers
 
-    async def get_health_service(self, words, query, body, who):
+    async def get_health_service(self, words, query, body, user_agent):
         headers = await self.wait_for_change(words[0], query)
-        known = self.known
-        entries = [] if self.faults.filtered else copy.deepcopy(known.entries(words[0]))
+        catalogue = self.visible_catalogue
+        entries = [] if self.faults.filtered else copy.deepcopy(catalogue.entries(words[0]))
         if "passing" in query:
             entries = [e for e in entries if all(c["Status"] == "passing" for c in e["Checks"])]
         if query.get("tag"):
@@ -502,8 +516,8 @@
             for e in entries
         }
         answer = (
-            who,
-            known.life,
+            user_agent,
+            catalogue.life,
             int(headers["X-Consul-Index"]),
             "consistent" in query,
             self.faults.filtered,
@@ -511,38 +525,46 @@
         )
         return entries, headers, answer
 
-    async def get_health_node(self, words, query, body, who):
+    async def get_health_node(self, words, query, body, user_agent):
         headers = await self.wait_for_change("", query)
         return (
-            [c for (n, _), c in sorted(self.known.checks.items()) if n == words[0]],
+            [c for (n, _), c in sorted(self.visible_catalogue.checks.items()) if n == words[0]],
             headers,
             None,
         )
 
-    async def get_health_checks(self, words, query, body, who):
+    async def get_health_checks(self, words, query, body, user_agent):
         headers = await self.wait_for_change(words[0], query)
         return (
-            [c for _, c in sorted(self.known.checks.items()) if c["ServiceName"] == words[0]],
+            [
+                c
+                for _, c in sorted(self.visible_catalogue.checks.items())
+                if c["ServiceName"] == words[0]
+            ],
             headers,
             None,
         )
 
-    async def get_health_state(self, words, query, body, who):
+    async def get_health_state(self, words, query, body, user_agent):
         headers = await self.wait_for_change("", query)
         return (
-            [c for _, c in sorted(self.known.checks.items()) if words[0] in ("any", c["Status"])],
+            [
+                c
+                for _, c in sorted(self.visible_catalogue.checks.items())
+                if words[0] in ("any", c["Status"])
+            ],
             headers,
             None,
         )
 
-    async def get_catalog_services(self, words, query, body, who):
+    async def get_catalog_services(self, words, query, body, user_agent):
         headers = await self.wait_for_change("", query)
         tags = {}
-        for s in self.known.services.values():
+        for s in self.visible_catalogue.services.values():
             tags[s["Service"]] = sorted({*tags.get(s["Service"], ()), *s["Tags"]})
         return {} if self.faults.filtered else tags, headers, None
 
-    async def get_catalog_service(self, words, query, body, who):
+    async def get_catalog_service(self, words, query, body, user_agent):
         headers = await self.wait_for_change(words[0], query)
         instances = [
             {
@@ -557,7 +579,7 @@
                 "CreateIndex": e["Service"]["CreateIndex"],
                 "ModifyIndex": e["Service"]["ModifyIndex"],
             }
-            for e in self.known.entries(words[0])
+            for e in self.visible_catalogue.entries(words[0])
         ]
         return (
             apply_filter([] if self.faults.filtered else instances, query.get("filter", "")),
@@ -565,20 +587,22 @@
             None,
         )
 
-    async def get_catalog_nodes(self, words, query, body, who):
+    async def get_catalog_nodes(self, words, query, body, user_agent):
         headers = await self.wait_for_change("", query)
-        return [n for _, n in sorted(self.known.nodes.items())], headers, None
+        return [n for _, n in sorted(self.visible_catalogue.nodes.items())], headers, None
 
-    async def get_catalog_node(self, words, query, body, who):
+    async def get_catalog_node(self, words, query, body, user_agent):
         headers = await self.wait_for_change("", query)
-        node = self.known.nodes.get(words[0])
-        services = {id: s for (n, id), s in self.known.services.items() if n == words[0]}
+        node = self.visible_catalogue.nodes.get(words[0])
+        services = {
+            id: s for (n, id), s in self.visible_catalogue.services.items() if n == words[0]
+        }
         return node and {"Node": node, "Services": services}, headers, None
 
-    async def get_catalog_datacenters(self, words, query, body, who):
+    async def get_catalog_datacenters(self, words, query, body, user_agent):
         return ["dc1"], {}, None
 
-    async def put_catalog_register(self, words, query, body, who):
+    async def put_catalog_register(self, words, query, body, user_agent):
         fields = parse_object(body)
         if not fields.get("Node") or not fields.get("Address"):
             raise InvalidRequestError(400, "Must provide node and address")
@@ -608,7 +632,7 @@
             )
         return True, {}, None
 
-    async def put_catalog_deregister(self, words, query, body, who):
+    async def put_catalog_deregister(self, words, query, body, user_agent):
         fields = parse_object(body)
         if fields.get("ServiceID"):
             self.catalogue.deregister(fields["Node"], fields["ServiceID"])
@@ -618,13 +642,13 @@
             self.catalogue.deregister_node(fields["Node"])
         return True, {}, None
 
-    async def get_status_leader(self, words, query, body, who):
+    async def get_status_leader(self, words, query, body, user_agent):
         return "" if self.faults.no_leader else "127.0.0.1:8300", {}, None
 
-    async def get_status_peers(self, words, query, body, who):
+    async def get_status_peers(self, words, query, body, user_agent):
         return ["127.0.0.1:8300"], {}, None
 
-    async def get_agent_self(self, words, query, body, who):
+    async def get_agent_self(self, words, query, body, user_agent):
         return (
             {
                 "Config": {"Datacenter": "dc1", "NodeName": self.node, "Server": True},
@@ -634,17 +658,17 @@
             None,
         )
 
-    async def get_agent_services(self, words, query, body, who):
+    async def get_agent_services(self, words, query, body, user_agent):
         return {id: s for (n, id), s in self.catalogue.services.items() if n == self.node}, {}, None
 
-    async def get_agent_checks(self, words, query, body, who):
+    async def get_agent_checks(self, words, query, body, user_agent):
         return (
             {check: c for (n, check), c in self.catalogue.checks.items() if n == self.node},
             {},
             None,
         )
 
-    async def put_agent_service(self, words, query, body, who):
+    async def put_agent_service(self, words, query, body, user_agent):
         if words[0] == "register":
             self.register(parse_object(body))
         elif words[0] == "deregister":
@@ -697,13 +721,13 @@
                     None,
                 ]
 
-    async def put_agent_maintenance(self, words, query, body, who):
+    async def put_agent_maintenance(self, words, query, body, user_agent):
         self.catalogue.maintenance(
             self.node, parse_bool(query, "enable"), reason=query.get("reason", "")
         )
         return None, {}, None
 
-    async def put_agent_check(self, words, query, body, who):
+    async def put_agent_check(self, words, query, body, user_agent):
         action, check = words[0], words[1] if len(words) > 1 else ""
         if action == "register":
             fields = parse_object(body)
--- a/mothnotch/standins/leaf.py
+++ b/mothnotch/standins/leaf.py
@@ -154,6 +154,7 @@
         return self.settings.cold_from + (1 - self.settings.cold_from) * min(1.0, age)
 
     async def refuse_connection(self, stream):
+        """Refuse a connection above the limit, as PostgreSQL does."""
         try:
             await stream.send_all(
                 b.error(b.ErrorFields("FATAL", "53300", "sorry, too many clients already"))
@@ -179,6 +180,7 @@
     # ---- one connection ----
 
     async def serve_client(self, stream):
+        """Serve one connection until it ends."""
         random_bytes = self.rng.getrandbits(64).to_bytes(8, "big")
         _, secret = wire.key_data_from_random(random_bytes)
         session = Session(next(self.pids), secret, stream, wire.ServerConnection(1 << 24))
@@ -204,7 +206,7 @@
             if type(event) is wire.Parse:
                 session.received[event.name] = event.sql
             elif type(event) is wire.Bind:
-                tag, sql = untagged(session.received.get(event.statement, ""))
+                tag, sql = split_tag(session.received.get(event.statement, ""))
                 values = tuple(
                     None if v is None else v.decode("utf-8", "replace") for v in event.values
                 )
@@ -264,10 +266,10 @@
                 await session.stream.send_all(bytes(out))  # raises if the peer has closed
                 out.clear()
             elif kind is wire.Query:
-                await self.simple(session, event.sql, out)
+                await self.run_simple_query(session, event.sql, out)
             else:
                 try:
-                    await self.extended(session, event, out)
+                    await self.handle_extended(session, event, out)
                 except EngineError as error:
                     session.failed = session.transaction is not None
                     session.skipping = True
@@ -277,12 +279,12 @@
         """Return the transaction status that ReadyForQuery reports."""
         return b"I" if session.transaction is None else b"E" if session.failed else b"T"
 
-    async def simple(self, session, sql, out):
+    async def run_simple_query(self, session, sql, out):
         """Run the statements of a simple query and append the reply to `out`."""
         try:
             for statement in sql.split(";"):
                 if statement.strip():
-                    names, rows, tag = await self.statement(session, statement.strip(), ())
+                    names, rows, tag = await self.run_statement(session, statement.strip(), ())
                     if names:
                         out += b.row_description([b.Column(n, t.TEXT) for n in names])
                         out += b"".join(b.data_row(row) for row in rows)
@@ -292,7 +294,7 @@
             out += b.error(b.ErrorFields("ERROR", error.sqlstate, str(error)))
         out += b.ready(self.status(session))
 
-    async def extended(self, session, event, out):
+    async def handle_extended(self, session, event, out):
         """Handle one message of the extended protocol and append the reply to `out`."""
         kind = type(event)
         if kind is wire.Parse:
@@ -318,14 +320,14 @@
                 out += b.parameter_description(oids) + b.NO_DATA
             else:
                 portal = session.portals[event.name]
-                portal[2] = await self.statement(session, portal[0], portal[1])
+                portal[2] = await self.run_statement(session, portal[0], portal[1])
                 names = portal[2][0]
                 out += (
                     b.row_description([b.Column(n, t.TEXT) for n in names]) if names else b.NO_DATA
                 )
         elif kind is wire.Execute:
             portal = session.portals[event.portal]
-            names, rows, tag = portal[2] or await self.statement(session, portal[0], portal[1])
+            names, rows, tag = portal[2] or await self.run_statement(session, portal[0], portal[1])
             portal[2] = None
             out += b"".join([b.data_row(row) for row in rows]) + b.command_complete(tag)
         elif kind is wire.Close:
@@ -334,15 +336,15 @@
 
     # ---- statements ----
 
-    async def statement(self, session, text, values):
+    async def run_statement(self, session, text, values):
         """Run one statement for its service time; return (column names, rows, command tag)."""
-        tag, sql = untagged(text)
+        tag, sql = split_tag(text)
         command = sql.split(None, 1)[0].upper()
         if session.failed and command not in ("ROLLBACK", "COMMIT"):
             raise EngineError("25P02", "current transaction is aborted")
         shard = shard_of(tag) if "range=" in tag else session.shard
         if command in ("BEGIN", "ROLLBACK", "COMMIT"):
-            return await self.control(session, command, shard)
+            return await self.control_transaction(session, command, shard)
         if command in ("SET", "SHOW"):
             return [], [], command
         if shard is None:
@@ -354,10 +356,10 @@
         ):
             self.poison_crashed = True
             self.stop()
-        await self.work(session, sql)
+        await self.occupy_core(session, sql)
         if command in ("SELECT", "TABLE"):
             names, rows, _ = self.store.run(shard, sql, values)
-            await self.work(session, None, len(rows) * self.settings.row_us / 1e6)
+            await self.occupy_core(session, None, len(rows) * self.settings.row_us / 1e6)
             self.record_event("done", sql, values, tag, shard)
             return names, rows, f"SELECT {len(rows)}"
         if session.transaction is not None:
@@ -380,7 +382,7 @@
                 return self.store.bounds.index(value)
         return min(self.settings.shards, default=0)
 
-    async def control(self, session, command, shard):
+    async def control_transaction(self, session, command, shard):
         """Run BEGIN, COMMIT or ROLLBACK."""
         if command == "BEGIN":
             session.transaction, session.failed, session.shard = [], False, shard
@@ -389,7 +391,7 @@
         session.transaction, session.failed = None, False
         if command == "ROLLBACK" or failed or statements is None:
             return [], [], "ROLLBACK" if command == "ROLLBACK" or failed else "COMMIT"
-        await self.work(session, None, self.settings.work_ms / 4000)
+        await self.occupy_core(session, None, self.settings.work_ms / 4000)
         if statements:
             self.store.run_together(session.shard, statements, True)
             for sql, values in statements:
@@ -408,7 +410,7 @@
             "DELETE FROM mothnotch_keys WHERE at < ?", (now - self.settings.key_window_s - 1.0,)
         )
 
-    async def work(self, session, sql, seconds=None):
+    async def occupy_core(self, session, sql, seconds=None):
         """Wait for a core and occupy it for the service time; a cancel ends it with 57014."""
         faults = self.faults
         if seconds is None:
@@ -454,7 +456,7 @@
             self.stop()
 
 
-def untagged(text):
+def split_tag(text):
     """Split a statement into (content of its leading comment, the rest)."""
     match = TAG.match(text)
     return (match[1], text[match.end() :]) if match else ("", text)
--- a/mothnotch/standins/platform.py
+++ b/mothnotch/standins/platform.py
@@ -69,14 +69,15 @@
         self.address = self.network.bound_address(listeners[0])
         async with trio.open_nursery() as self.nursery:
             task_status.started(self)
-            await serve(listeners, self.serve_client, self.nursery)
+            await serve(listeners, self.serve_root, self.nursery)
 
     def close_connections(self):
         """Close all connections, as the end of the process does."""
         for stream in list(self.streams):
             close_now(stream)
 
-    async def serve_client(self, stream):
+    async def serve_root(self, stream):
+        """Handle the frames of one connection of a root."""
         self.connections += 1
         self.streams.add(stream)
         buffer, waiting = b"", {}
@@ -214,16 +215,17 @@
             task_status.started(self)
             await serve(listeners, self.serve_root, nursery)
 
-    def publish(self, whole=False, *targets):
-        """Update targets and send them to all watches, or the whole list."""
+    def publish(self, full_list=False, *targets):
+        """Update targets and send them, or the full list, to all watches."""
         self.rev += 1
         self.targets |= {t["uid"]: t for t in targets}
-        sent = list(self.targets.values()) if whole else targets
+        sent = list(self.targets.values()) if full_list else targets
         self.publish_line(
-            json.dumps({"rev": self.rev, "all": whole, "targets": sent, "new key": 1})
+            json.dumps({"rev": self.rev, "all": full_list, "targets": sent, "new key": 1})
         )
 
     def publish_line(self, text):
+        """Send a line to all watches."""
         self.lines.append(text)
         self.changed.set()
         self.changed = trio.Event()
@@ -233,6 +235,7 @@
             close_now(stream)
 
     async def serve_root(self, stream):
+        """Answer one request with the list and then its changes, or empty lines every 2 s."""
         self.streams.add(stream)
         try:
             head = b""
@@ -317,7 +320,7 @@
 
     async def ask(self, request_id, kind, shards, text="t", timeout_ms=1000, key=None, root=0):
         """Send a request, record it, and return the answer as `read_answer` does."""
-        ask = QueryRecord(
+        query = QueryRecord(
             f"id:{request_id}",
             root,
             kind,
@@ -326,21 +329,21 @@
             timeout_ms / 1000,
             tuple(shards),
         )
-        ask.expected = {s: (int(value_of(text, s)),) for s in shards}
-        self.world.record.queries.append(ask)
+        query.expected = {s: (int(value_of(text, s)),) for s in shards}
+        self.world.record.queries.append(query)
         await self.send(request(request_id, kind, shards, text, timeout_ms, key))
         answer = await self.read_answer()
-        ask.ended_at = trio.current_time()
+        query.ended_at = trio.current_time()
         if answer is None:
-            ask.outcome = "lost"
+            query.outcome = "lost"
             return None
-        ask.reply_count, ask.surplus_bytes = 1, len(self.buffer)
-        ask.outcome = {200: "answered", 503: "refused", 429: "refused"}.get(answer[0], "failed")
+        query.reply_count, query.surplus_bytes = 1, len(self.buffer)
+        query.outcome = {200: "answered", 503: "refused", 429: "refused"}.get(answer[0], "failed")
         if answer[0] == 200:
             body = json.loads(answer[2])
-            ask.value = (sum(int(a["blob"]) for a in body["answers"]),)
+            query.value = (sum(int(a["blob"]) for a in body["answers"]),)
             answered = {a["range"] for a in body["answers"]}
-            ask.missing = () if body["total"] else tuple(s for s in shards if s not in answered)
+            query.missing = () if body["total"] else tuple(s for s in shards if s not in answered)
         return answer
 
 
