--- a/mothnotch/decisions/fleet/gossip_store.py
+++ b/mothnotch/decisions/fleet/gossip_store.py
@@ -230,7 +230,10 @@
     def updates_to_piggyback(
         self, max_bytes: int, cluster_size: int, now_us: int
     ) -> tuple[Fact, ...]:
-        """Return queued facts of at most `max_bytes` for one message, least transmitted first."""
+        """Return queued facts of at most `max_bytes` for one message, least transmitted first.
+
+        Expired facts are removed from the queue, as are those sent often enough.
+        """
         multiple = self.settings.retransmit_multiple
         max_transmissions = max(1, math.ceil(multiple * math.log2(cluster_size + 1)))
         facts = []
--- a/mothnotch/decisions/fleet/membership.py
+++ b/mothnotch/decisions/fleet/membership.py
@@ -227,7 +227,11 @@
         return member
 
     def _suspicion_timeout_us(self, member: Member) -> float:
-        """Return the suspicion timeout, which confirmations shorten logarithmically (Lifeguard)."""
+        """Return the suspicion timeout, which confirmations shorten logarithmically (Lifeguard).
+
+        It is the minimum from the start if local health is disabled or there is no third root that
+        could confirm the suspicion.
+        """
         min_us = self.min_suspicion_timeout_us()
         size = self.cluster_size()
         if not self.settings.local_health or size <= 2:
@@ -245,7 +249,11 @@
                 member.state_deadline_us += extension_us
 
     def expire(self, now_us: int) -> None:
-        """Declare members gone whose suspicion has expired, and remove long gone ones."""
+        """Declare members gone whose suspicion has expired, and remove long gone ones.
+
+        An expired suspicion is extended instead if this root is recovering or isolated, or has
+        heard the member since the suspicion started.
+        """
         for name, member in list(self.members.items()):
             if member.state_deadline_us > now_us:
                 continue
@@ -292,7 +300,11 @@
             self._updates.add(self.members[claim.name].claim)
 
     def _add_member(self, claim: Claim, now_us: int, direct: bool) -> bool:
-        """Add a member that is not in the table; return whether it was added."""
+        """Add a member that is not in the table; return whether it was added.
+
+        A removed member returns only by a claim above its last one, or by a message of its own. A
+        claim that a root is gone adds no member, but is remembered.
+        """
         departed = self.departed.get(claim.name)
         if (
             departed is not None
@@ -324,8 +336,9 @@
     def _update_member(self, member: Member, claim: Claim, now_us: int, direct: bool) -> bool:
         """Apply a claim about the current incarnation; return whether it had an effect.
 
-        A message from the member itself at another address changes its address. A gone member
-        needs a higher refutation to become alive again.
+        A message from the member itself at another address changes its address; claims of others
+        do not, once the member itself was heard. A gone member needs a higher refutation to become
+        alive again.
         """
         current = member.claim
         is_address_changed = direct and claim.address != current.address
--- a/mothnotch/decisions/leaf_membership/incarnation_candidate.py
+++ b/mothnotch/decisions/leaf_membership/incarnation_candidate.py
@@ -34,7 +34,10 @@
         members: Mapping[str, Member],
         settings: MembershipSettings,
     ) -> None:
-        """Mark the members that the answer drains or removes: they get no new work meanwhile."""
+        """Mark the members that the answer drains or removes: they get no new work meanwhile.
+
+        Removals count only if the answer is complete and few of the listed names are missing.
+        """
         if answer.index < self._index:
             return
         names = {instance.name for instance in answer.instances}
--- a/mothnotch/decisions/leaf_membership/membership.py
+++ b/mothnotch/decisions/leaf_membership/membership.py
@@ -81,6 +81,8 @@
 
     def on_answer(self, now_us: int, wall_s: float, answer: CatalogueAnswer) -> bool:
         """Merge an answer to a query of the watch; return False if it is out of order."""
+        # A stale agent may still have the lost incarnation, whose indexes may be higher than those
+        # of the new one.
         from_lost_incarnation = (
             answer.is_stale and self.incarnation and answer.index <= self._lost_index
         )
--- a/mothnotch/decisions/memory_budget.py
+++ b/mothnotch/decisions/memory_budget.py
@@ -56,7 +56,11 @@
         return ALPHA * factor * max(0.0, self.free - RESERVE_FRACTION * self.limit)
 
     def fits(self, name: Hashable, count: int, factor: float) -> bool:
-        """Return whether `name` may reserve `count` more bytes."""
+        """Return whether `name` may reserve `count` more bytes.
+
+        A holder that stays small may use the reserve; any other has to leave it free and is bound
+        by its cap.
+        """
         if count > self.free:
             return False
         total = self.held.get(name, 0) + count
--- a/mothnotch/decisions/registration_policy.py
+++ b/mothnotch/decisions/registration_policy.py
@@ -98,7 +98,7 @@
             self.failing_since_s = None
 
     def shutdown_steps(self) -> list[RegistrationStep]:
-        """Return the steps of a graceful shutdown: deregister wherever registered."""
+        """Return the steps of a graceful shutdown: deregister where the root may be registered."""
         return [
             RegistrationStep(StepKind.DEREGISTER, agent, 0.0)
             for agent in sorted(self.agents_to_deregister)
