--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -198,6 +198,7 @@
             if type(event) is not wire.EncryptionRequest:
                 break
             encryption_requests += 1
+            # A client may send one SSLRequest and one GSSENCRequest.
             if encryption_requests > 2:
                 raise ProtocolError("encryption was asked for again and again")
             await self.stream.send_all(b"N")
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -179,7 +179,8 @@
         self.request_scope = None  # cancel scope of the request in flight
         self.cancelled = False
         self.coverage = Coverage(())  # of the last SELECT that was answered
-        # True if a write ran since the last Sync, outside of a transaction block.
+        # True if a write ran since the last Sync, outside of a transaction block. PostgreSQL would
+        # commit a second one together with it, which the root cannot do.
         self.wrote_since_sync = False
 
     # ---- settings ----
@@ -268,6 +269,7 @@
             self.request_scope.cancel()
 
     def on_sync(self):
+        """Handle a Sync, or the start or end of a simple query, either of which implies one."""
         self.wrote_since_sync = False
 
     async def execute(self, plan, parameters):
@@ -456,7 +458,11 @@
             raise error
 
     def bound_statement(self, plan, parameters, shard, values=None):
-        """Return the statement that is sent to the leaf of one bin range."""
+        """Return the statement for the leaf of a shard.
+
+        Unless it inserts rows, parameters restrict it to the bin range of the shard: the interval
+        of values of the shard column that the shard contains.
+        """
         values, oids = plan.values(parameters) if values is None else values, plan.oids
         if not plan.inserted_shard_values:
             low, high = self.service.schema.range(shard)
@@ -483,7 +489,10 @@
         return out
 
     def affinity_key(self, plan, parameters):
-        """Return the only possible value of the shard column as text, or None."""
+        """Return the only value of the shard column that the statement concerns, as text, or None.
+
+        Requests with the same key prefer the same leaves.
+        """
         value = plan.shard_value(parameters)
         return None if value is None else str(value)
 
--- a/mothnotch/leaves/call.py
+++ b/mothnotch/leaves/call.py
@@ -29,6 +29,6 @@
         return self.connection is not None
 
     def cancel(self, attempt) -> None:
-        """Handle a cancelled attempt: abandon the call once all of its attempts have ended."""
+        """Handle a cancelled or expired attempt; cancel the call once all its attempts ended."""
         if not self.live_attempts:
             self.pool.cancel_call(self)
--- a/mothnotch/leaves/connection.py
+++ b/mothnotch/leaves/connection.py
@@ -138,7 +138,7 @@
     # ---- reading ----
 
     async def read_until_lost(self) -> None:
-        """Read and process the leaf's messages until the connection is lost or abandoned."""
+        """Read and process the leaf's messages until the connection is lost or closed."""
         try:
             while True:
                 data = await self.stream.receive_some(_READ_BYTES)
--- a/mothnotch/leaves/leaf.py
+++ b/mothnotch/leaves/leaf.py
@@ -8,7 +8,8 @@
 
     `takes_new`: whether new attempts may be sent to the leaf; `idle_connections`: ordered by use,
     the most recently used last; `connection_count`: includes connections that are being made;
-    `local_evidence`: when the leaf last answered or failed here, which membership decisions use.
+    `cancels_in_flight`: the number of cancel requests that are being sent; `local_evidence`: when
+    the leaf last answered or failed here, which membership decisions use.
     """
 
     def __init__(self, name: str, address: str):
--- a/mothnotch/net/arrival_clock.py
+++ b/mothnotch/net/arrival_clock.py
@@ -27,8 +27,9 @@
     The offset between the clocks is learned from the timestamps themselves: data that is read as
     soon as it arrives has the smallest delay between timestamp and read, so the smallest difference
     seen is the offset. The wall clock may be stepped at any time, before or after a timestamp is
-    taken. Each scheduler pass therefore checks for a step, and after one, the old and the new
-    offset are both candidates until only one of them fits.
+    taken, so a timestamp may or may not include the step. Each scheduler pass therefore checks for
+    a step, and after one, the old and the new offset are both candidates until only one of them
+    fits.
 
     An offset fits if data arrives no later than it is read and no earlier than two passes before,
     as an earlier pass would have reported it. The bound is two passes, as a wait that a signal
--- a/mothnotch/net/memory.py
+++ b/mothnotch/net/memory.py
@@ -190,7 +190,7 @@
 
 
 class MemoryNetwork:
-    """Streams and datagrams in memory, between addresses that need not exist.
+    """Streams and datagrams in memory; an address is only a name, which is not resolved.
 
     Set `datagram_delays_s`, `may_connect` and `unreachable_addresses` to simulate network faults.
     """
--- a/mothnotch/net/sockets.py
+++ b/mothnotch/net/sockets.py
@@ -213,7 +213,10 @@
         )
 
     def pending_since(self, stream: trio.SocketStream) -> float:
-        """Return the earliest time at which an accepted connection may have become pending."""
+        """Return the earliest time at which an accepted connection may have become pending.
+
+        Data that is read from it first may have been waiting since then, too.
+        """
         return stream.pending_since_s
 
     def peer_disconnected(self, stream) -> bool:
--- a/mothnotch/store/endpoint_cache.py
+++ b/mothnotch/store/endpoint_cache.py
@@ -88,8 +88,8 @@
     def load(self) -> tuple[list[CachedLeaf] | None, int, float, str]:
         """Return (leaves, index, saved_s, problem) of the newest intact list.
 
-        `saved_s` is in seconds of the wall clock; `problem` describes any damage found, or is
-        empty. The leaves are None if there is no list.
+        `saved_s` is in seconds of the wall clock; `problem` says why the file or a newer list could
+        not be used, or is empty. The leaves are None if there is no list.
         """
         if not os.path.exists(self.path):
             return None, 0, 0.0, ""
