--- a/mothnotch/standins/consul.py
+++ b/mothnotch/standins/consul.py
@@ -481,7 +481,7 @@
             wait = min(
                 MAX_WAIT_S, parse_duration(query["wait"]) if query.get("wait") else DEFAULT_WAIT_S
             )
-            # a blocking query ends when the servers lose their state
+            # a restored store abandons the blocking queries that wait on the old state
             life = self.visible_catalogue.life
             with trio.move_on_after(wait * 17 / 16):
                 while (
