--- a/mothnotch/merge/runs.py
+++ b/mothnotch/merge/runs.py
@@ -21,7 +21,7 @@
 
 
 class SpillError(Exception):
-    """A run cannot be written or read: the disk is full or failing, or the query is over its cap."""
+    """A run cannot be written or read: disk full or failing, or query over its cap."""
 
 
 class Run:
