--- a/mothnotch/badday/fleet.py
+++ b/mothnotch/badday/fleet.py
@@ -156,7 +156,7 @@
         await self.stop_roots(fault, self.runner.end)
 
     async def stop_roots(self, fault, stop):
-        """Stop the roots, and start them again after the fault's time."""
+        """Stop the roots, and start them again after the fault's duration."""
         end_intervals = [self.begin_interval(self.peers.down_intervals, n) for n in fault.roots]
         for n in fault.roots:
             self.take_down(n)
--- a/mothnotch/soak/client.py
+++ b/mothnotch/soak/client.py
@@ -25,7 +25,7 @@
     b"POST /api HTTP/1.1\r\nHost: a\r\nContent-Length: 99999999\r\n\r\n" + b"x" * 2000,
     b"POST /api HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\nContent-Length: 3\r\n\r\n0\r\n\r\n",
 )
-IDLE_RECONNECT_DELAY_S = (2.0, 4.0)  # from the close of an idle connection
+IDLE_RECONNECT_DELAY_S = (2.0, 4.0)  # range of the delay after an idle connection was closed
 ANSWER_GRACE_S = 1.2  # after the request's timeout, an answer is still awaited for this long
 
 
--- a/mothnotch/soak/history.py
+++ b/mothnotch/soak/history.py
@@ -9,7 +9,7 @@
 
 from mothnotch.soak.settings import Deployment
 
-CLOCK_SLACK_S = 0.06  # from an event to its record on a busy machine
+CLOCK_SLACK_S = 0.06  # longest delay from an event to its record on a busy machine
 BACKLOG_S = 0.4  # a root accepts new connections for this long after SIGTERM
 
 
--- a/mothnotch/soak/judge.py
+++ b/mothnotch/soak/judge.py
@@ -31,6 +31,7 @@
     """The result of the checks."""
 
     violations: list = field(default_factory=list)  # (rule, details)
+    # reason -> number of excuses; the reasons are keys of the JSON output
     excused: dict = field(default_factory=lambda: defaultdict(int))
     counts: dict = field(default_factory=lambda: defaultdict(int))
 
@@ -78,6 +79,7 @@
         elif not isinstance(how, int):
             if how in ("closed", "reset") and not request["first"] and not history.was_read(rid):
                 verdict.excused["a close crossed a request on a kept connection"] += 1
+            # A crowd of idle clients uses up the descriptors, so a root closes connections.
             elif how in ("closed", "reset") and deployment.crowd and not history.was_read(rid):
                 verdict.excused["a new connection shut unread in a crowd"] += 1
             elif request["first"] and history.is_stopping(root, connected):
@@ -287,6 +289,7 @@
                 )
                 if end <= event["t"] + CLOCK_SLACK_S:
                     continue
+                # The "word" in the reasons below is the cancellation of the earlier attempt.
                 if history.was_closed_before(earlier, event):
                     verdict.excused["a close that had left, seen late by its leaf"] += 1
                 elif any(t <= event["t"] for t in cancel_times[earlier["who"], wire_id]):
--- a/mothnotch/soak/run.py
+++ b/mothnotch/soak/run.py
@@ -32,7 +32,7 @@
 CLIENTS_PER_ROOT, REQUEST_RATE = 2, 4.0
 RESTART_NOTICE_DELAY_S = 0.3
 MACHINE_STALL_THRESHOLD_S = 0.25  # a sleep that ends this late shows that the machine stalled
-START_SIGNAL_WINDOW_S = 0.4  # a root that starts gets signals within this time
+START_SIGNAL_WINDOW_S = 0.4  # a starting root is sent signals within this time
 
 
 class Soak:
@@ -315,7 +315,7 @@
         if root is None or root.process.poll() is not None:
             return
         if root not in self.ready_processes:
-            root.killed = True  # may see a SIGTERM at its start too late to end in time
+            root.killed = True  # excused: a starting root may see SIGTERM too late to end in time
         self.current_processes[number] = None
         kill_after_s = min(self.deployment.deadline_s, KILL_DEADLINE_MAX_S) + KILL_DELAY_S
         kill_at_s = math.inf
@@ -329,7 +329,7 @@
             while root.process.poll() is None:
                 await trio.sleep(0.01)
         if root.process.poll() is None:
-            root.process.kill()  # should have ended by itself: reported as a crash
+            root.process.kill()  # it should have ended by itself, so this is reported as a crash
             root.process.wait()
         root.record_end()
         if restart:
@@ -474,7 +474,7 @@
             f"{soak.deployment.streams} parts a connection; "
             f"{dict(verdict.counts)}; excused {dict(verdict.excused)}; "
             + (
-                f"the machine stood still {soak.machine_stall_s:.1f} s; "
+                f"the machine stalled for {soak.machine_stall_s:.1f} s; "
                 if soak.machine_stall_s
                 else ""
             )
--- a/tests/support/platform_rig.py
+++ b/tests/support/platform_rig.py
@@ -352,7 +352,7 @@
     return "x" * n
 
 
-def lanes_with_repeat_window(window_s):
+def classes_with_retry_window(window_s):
     """Return the classes, with long objectives and a retry window for the keyed class."""
     read, hold = options()["lanes"]
     return [
--- a/tests/test_badday.py
+++ b/tests/test_badday.py
@@ -110,7 +110,7 @@
     ).hexdigest()
 
 
-def test_same_seed_gives_the_same_transcript_in_another_digest():
+def test_same_seed_gives_the_same_transcript_in_another_process():
     code = "from tests.test_badday import transcript_digest; print(transcript_digest(9))"
     env = {**os.environ, "PYTHONHASHSEED": "4711"}
     other_digest = subprocess.run(
--- a/tests/test_clock_steps.py
+++ b/tests/test_clock_steps.py
@@ -11,7 +11,7 @@
 
 from mothnotch.standins.platform import request
 from tests.support.platform_rig import (
-    lanes_with_repeat_window,
+    classes_with_retry_window,
     on_real_sockets,
     parts_of_call,
     wire_ids,
@@ -183,7 +183,7 @@
 @pytest.mark.parametrize("step_s", [3600.0, -3600.0])
 async def test_a_step_does_not_extend_the_retry_window_of_a_keyed_part(tmp_path, step_s):
     """A part with an idempotency key may be retried only within its window, 0.8 s of real time."""
-    async with root_process(tmp_path, lanes=lanes_with_repeat_window(0.8)) as root:
+    async with root_process(tmp_path, lanes=classes_with_retry_window(0.8)) as root:
         home, other, client = *root.replicas(0), root.client()
         client.send_bytes(request("r1", "hold", (0,), key="k", timeout_ms=6000))
         link = await home.accept_connection()
--- a/tests/test_connection_ends.py
+++ b/tests/test_connection_ends.py
@@ -13,7 +13,7 @@
 from mothnotch.standins.platform import request
 from tests.support.platform_rig import (
     Leaf,
-    lanes_with_repeat_window,
+    classes_with_retry_window,
     long_text,
     on_real_sockets,
     rig,
@@ -122,7 +122,7 @@
     """
     window_s = 0.6
     async with rig(
-        lanes=lanes_with_repeat_window(window_s), limits={"dialTimeoutUs": 2_000_000}
+        lanes=classes_with_retry_window(window_s), limits={"dialTimeoutUs": 2_000_000}
     ) as r:
         home_leaf, client = r.home_leaf(0), r.client()
         client.send_bytes(request("r1", "hold", (0,), key="k1"))
@@ -162,7 +162,7 @@
     """The first attempt waits for its connection; the second one overtakes it on an open connection."""
     window_s = 0.3
     async with rig(
-        lanes=lanes_with_repeat_window(window_s),
+        lanes=classes_with_retry_window(window_s),
         limits={"dialTimeoutUs": 2_000_000, "cancel": False, "mayDuplicate": True},
     ) as r:
         core, home_leaf, client = r.root.core, r.home_leaf(0), r.client()
--- a/tests/test_failing_calls.py
+++ b/tests/test_failing_calls.py
@@ -225,7 +225,7 @@
         async with root.paused():
             root.send_signal(signal.SIGTERM)
             signalled_s = trio.current_time()
-            await trio.sleep(0.1)  # 0.15 s in all, with the wait in `held`
+            await trio.sleep(0.1)  # 0.15 s in all, with the wait in `paused`
         await trio.sleep_until(signalled_s + 1.0)
         client.send_bytes(request("r1", "read", (0,), timeout_ms=1500))
         answer = await client.read_answer()
--- a/tests/test_few_places.py
+++ b/tests/test_few_places.py
@@ -73,10 +73,10 @@
         root.rig.nursery.start_soon(busy.run)
         root.rig.nursery.start_soon(elsewhere.run)
 
-        async def serve_first_link():
+        async def serve_first_connection():
             await busy.serve(link)
 
-        root.rig.nursery.start_soon(serve_first_link)
+        root.rig.nursery.start_soon(serve_first_connection)
         clients = [root.client() for _ in range(4)]
         for n in range(3):
             clients[n].send_bytes(request(f"r{n}", "read", (0,), timeout_ms=5000))
--- a/tests/test_golden_bytes.py
+++ b/tests/test_golden_bytes.py
@@ -95,7 +95,7 @@
 }
 
 
-def refusal(read, data):
+def rejection_reason(read, data):
     """Return the reason for which a root rejects the bytes, as it counts it."""
     from mothnotch.peers.codec import InvalidMessageError
 
@@ -114,16 +114,18 @@
     """Return the peer service of a root, not yet running; it listens at root:1 and has no seeds."""
     from mothnotch.peers.service import PeerService
 
-    return PeerService(network, Kept(), "r1", (5, 6), "root:1", [], "stock", [key], Random(7))
+    return PeerService(
+        network, DiscardingLog(), "r1", (5, 6), "root:1", [], "stock", [key], Random(7)
+    )
 
 
-def ask_view(network, address, key, number):
+def request_peer_view(network, address, key, number):
     from mothnotch.peers import exchange
 
     return exchange.request_view(network, address, codec("stock", [key]), number)
 
 
-def last_list(path):
+def open_endpoint_cache(path):
     """Return the endpoint cache as a root with the full configuration opens it."""
     from mothnotch.daemon import Root
 
@@ -131,13 +133,13 @@
     conf = path.parent / "root.json5"
     conf.write_text(text.replace("last-list.db", path.name))
 
-    async def made():
-        return Root(load(conf), memory_network(), Kept()).watch.store
+    async def open_store():
+        return Root(load(conf), memory_network(), DiscardingLog()).watch.store
 
-    return run(made)
+    return run(open_store)
 
 
-def held_leaf(v):
+def cached_leaf(v):
     from mothnotch.decisions.leaf_membership.catalogue_answers import CachedLeaf
 
     return CachedLeaf(*v)
@@ -155,7 +157,7 @@
     return load_roster(text, cells)
 
 
-def load_day(text):
+def load_scenario(text):
     from mothnotch.badday.script import load
 
     return load(text)
@@ -167,7 +169,7 @@
     return ConfigError
 
 
-def taken(config):
+def derived_settings(config):
     """Return the settings that the packages derive from a configuration, by position."""
     found = [config.settings(), config.schema(), config.pool(), config.class_kinds()]
     if config.consul is not None:
@@ -186,10 +188,10 @@
 def node_root(config, network):
     from mothnotch.node.root import NodeRoot
 
-    return NodeRoot(config, network, Kept())
+    return NodeRoot(config, network, DiscardingLog())
 
 
-def frames():
+def frame_codec():
     from mothnotch.node import frames as f
 
     def call(parts):
@@ -211,14 +213,14 @@
     return parse(query, headers, body, arrived_us, config.settings, config.shard_count)
 
 
-def drill_events(lines):
+def parse_adapter_events(lines):
     """Return the (time, events of each instance) that the simulator adapter parses from a batch."""
     from mothnotch.simulator_adapter import Adapter
 
     return Adapter().read(lines)
 
 
-def drill_lines(actions):
+def format_adapter_lines(actions):
     """Return the lines of the simulator adapter for actions of root 3, given as name and values."""
     from mothnotch.decisions import interface as i
     from mothnotch.simulator_wire import action_line
@@ -235,11 +237,11 @@
         "subscribe": i.Subscribe,
         "log": i.Log,
     }
-    made = [kinds[name](*values) for name, values in actions]
-    return [action_line(3, action) for action in made]
+    converted = [kinds[name](*values) for name, values in actions]
+    return [action_line(3, action) for action in converted]
 
 
-def drill(text):
+def run_adapter(text):
     """Return (exit status, output without the DEBUG lines) of the simulator adapter."""
     from mothnotch.simulator_adapter import main
 
@@ -258,7 +260,7 @@
 # ---- helpers that use no names of the program ----
 
 
-class Kept:
+class DiscardingLog:
     """A log that discards everything."""
 
     def info(self, event, **fields):
@@ -289,7 +291,7 @@
     return x
 
 
-def golden(name):
+def read_golden(name):
     return json.loads((GOLDEN / name).read_text())
 
 
@@ -300,8 +302,8 @@
     return trio.run(test, *args, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
-async def said(stream):
-    """Return the bytes received until the stream is quiet; a line marks the end of the stream."""
+async def receive_until_quiet(stream):
+    """Return the bytes received until the stream is quiet; a final line "<end>" marks its end."""
     data = b""
     while True:
         with trio.move_on_after(QUIET_S) as scope:
@@ -333,13 +335,13 @@
     return value
 
 
-def where(path):
+def dotted_path(path):
     return ".".join(map(str, path))
 
 
 # ---- datagrams and streams between roots ----
 
-PEERS = golden("peers.json")
+PEERS = read_golden("peers.json")
 KEYS = [key.encode() for key in PEERS["keys"]]
 
 
@@ -368,9 +370,9 @@
     read = getattr(codec(PEERS["fleet"], KEYS), PEER_FORMS[case["kind"]][2])
     reasons = ["stranger"] * 2 + ["version"] + ["fleet"] * 4 + ["tag"] * (len(data) - 7)
     for n, why in enumerate(reasons):
-        assert refusal(read, data[:n] + bytes([data[n] ^ 1]) + data[n + 1 :]) == why
-    assert refusal(read, data[:22]) == "short"
-    assert refusal(read, data + bytes(1 << 20)) == "long"
+        assert rejection_reason(read, data[:n] + bytes([data[n] ^ 1]) + data[n + 1 :]) == why
+    assert rejection_reason(read, data[:22]) == "short"
+    assert rejection_reason(read, data + bytes(1 << 20)) == "long"
 
 
 async def peer_session(steps):
@@ -397,13 +399,13 @@
                 elif what == "send":
                     await streams[who].send_all(bytes.fromhex(data))
                 else:
-                    found.append((await said(streams[who])).hex())
+                    found.append((await receive_until_quiet(streams[who])).hex())
         nursery.cancel_scope.cancel()
     return found
 
 
 def test_a_root_sends_the_same_datagrams_and_streams_in_a_recorded_session():
-    steps = golden("peer_session.json")
+    steps = read_golden("peer_session.json")
     assert run(peer_session, steps) == [data for _, what, data in steps if what == "get"]
 
 
@@ -417,11 +419,13 @@
 
             async def serve():
                 stream = await listener.accept()
-                assert await said(stream) == struct.pack("<I", len(question)) + question
+                assert (
+                    await receive_until_quiet(stream) == struct.pack("<I", len(question)) + question
+                )
                 await stream.send_all(struct.pack("<I", len(answer)) + answer)
 
             nursery.start_soon(serve)
-            found = await ask_view(network, "root:1", KEYS[0], 77)
+            found = await request_peer_view(network, "root:1", KEYS[0], 77)
             assert plain(found) == PEERS["written"]["view"]["values"]
 
     run(main)
@@ -429,7 +433,7 @@
 
 # ---- the endpoint cache on disk ----
 
-LISTS = golden("last_list.json")
+LISTS = read_golden("last_list.json")
 
 
 def rows(path):
@@ -443,15 +447,15 @@
 def test_an_endpoint_cache_of_the_previous_version_is_read(tmp_path):
     path = tmp_path / "last-list.db"
     shutil.copy(GOLDEN / "last-list.db", path)
-    leaves, index, saved, wrong = last_list(path).load()
+    leaves, index, saved, wrong = open_endpoint_cache(path).load()
     assert [plain(leaves), index, saved, wrong] == [*LISTS["saved"][-1], ""]
 
 
 def test_the_endpoint_cache_is_written_with_the_same_tables_rows_and_checksums(tmp_path):
     path = tmp_path / "last-list.db"
-    store = last_list(path)
+    store = open_endpoint_cache(path)
     for leaves, index, saved in LISTS["saved"]:
-        store.save([held_leaf(v) for v in leaves], index, saved)
+        store.save([cached_leaf(v) for v in leaves], index, saved)
     assert list(rows(path)) == [LISTS["tables"], LISTS["rows"]]
     assert rows(path) == rows(GOLDEN / "last-list.db")
 
@@ -462,14 +466,14 @@
     with sqlite3.connect(path) as db:
         db.execute("UPDATE lists SET at = at + 1 WHERE n = (SELECT max(n) FROM lists)")
     db.close()
-    leaves, index, saved, wrong = last_list(path).load()
+    leaves, index, saved, wrong = open_endpoint_cache(path).load()
     assert [plain(leaves), index, saved] == LISTS["saved"][-2] and "checksum" in wrong
 
 
 def test_an_unusable_endpoint_cache_is_moved_aside_under_the_same_name(tmp_path):
     path = tmp_path / "last-list.db"
     path.write_bytes(b"no list" * 1000)
-    assert last_list(path).load()[0] is None
+    assert open_endpoint_cache(path).load()[0] is None
     assert (
         tmp_path / "last-list.db.broken"
     ).read_bytes() == b"no list" * 1000 and not path.exists()
@@ -477,7 +481,7 @@
 
 # ---- frames to leaves, and all protocols of a platform root ----
 
-FRAMES = golden("frames.json")
+FRAMES = read_golden("frames.json")
 
 
 @pytest.mark.parametrize("name", FRAMES["written"])
@@ -485,13 +489,13 @@
     what, args, data = FRAMES["written"][name]
     if what == "call":
         args = [(*part[:4], part[4].encode()) for part in args]
-    assert frames()[what](args).hex() == data
+    assert frame_codec()[what](args).hex() == data
 
 
 def test_frames_from_leaves_are_split_as_before_for_any_chunk_size():
     data = bytes.fromhex(FRAMES["stream"]["hex"])
     for step in (1, 7, len(data)):
-        reader, found = frames()["reader"](), []
+        reader, found = frame_codec()["reader"](), []
         for at in range(0, len(data), step):
             more, error = reader.feed(data[at : at + step])
             assert error is None
@@ -502,7 +506,7 @@
 @pytest.mark.parametrize("name", FRAMES["answers"])
 def test_an_answer_of_a_leaf_is_decoded_as_before(name):
     text, values = FRAMES["answers"][name]
-    assert plain(frames()["answer"](text.encode())) == values
+    assert plain(frame_codec()["answer"](text.encode())) == values
 
 
 async def node_session(steps):
@@ -525,17 +529,17 @@
                 elif what == "send":
                     await streams[who].send_all(text.encode("latin-1"))
                 else:
-                    found.append([who, (await said(streams[who])).decode("latin-1")])
+                    found.append([who, (await receive_until_quiet(streams[who])).decode("latin-1")])
         nursery.cancel_scope.cancel()
     return found
 
 
 def test_a_platform_root_sends_the_same_to_clients_leaves_and_discovery_in_a_recorded_session():
-    steps = golden("node_steps.json")
+    steps = read_golden("node_steps.json")
     assert run(node_session, steps) == [[who, text] for who, what, text in steps if what == "get"]
 
 
-REQUESTS = golden("requests.json")
+REQUESTS = read_golden("requests.json")
 
 
 @pytest.mark.parametrize("name", REQUESTS)
@@ -548,18 +552,18 @@
 # ---- configuration ----
 
 
-def full():
+def full_configuration():
     return pyjson5.decode((GOLDEN / "configuration.json5").read_text())
 
 
-def loaded(value, folder):
+def load_configuration(value, folder):
     path = folder / "root.json5"
     path.write_text(json.dumps(value))
     return load(path)
 
 
 def test_every_key_of_a_configuration_is_read_with_the_same_meaning(tmp_path):
-    found, value = loaded(full(), tmp_path), full()
+    found, value = load_configuration(full_configuration(), tmp_path), full_configuration()
     value["consul"]["held"] = str(tmp_path / "last-list.db")
     value["roster"] = None
     value["ranges"]["bounds"] = None
@@ -568,7 +572,7 @@
         assert value["classes"][name].items() <= whole["classes"][name].items()
         whole["classes"][name] = value["classes"][name]
     assert whole == value
-    assert taken(found) == golden("configuration_taken.json")
+    assert derived_settings(found) == read_golden("configuration_taken.json")
 
 
 @pytest.mark.parametrize("name", ["bounds.json5", "example.json"])
@@ -577,22 +581,26 @@
     value = msgspec.to_builtins(found)
     assert value["roster"] == str(tmp_path / "roster.json5")
     value["roster"] = "roster.json5"
-    assert [value, taken(found)] == golden(f"{name.partition('.')[0]}_read.json")
+    assert [value, derived_settings(found)] == read_golden(f"{name.partition('.')[0]}_read.json")
 
 
 def test_the_defaults_of_optional_sections_are_the_same(tmp_path):
-    value = full()
+    value = full_configuration()
     value["consul"] = {"agents": ["127.0.0.1:8500"], "service": "s", "register": {}}
     value["peers"] = {"name": "r", "listen": "127.0.0.1:1", "fleet": "f", "keys": ["k" * 16]}
-    found = msgspec.to_builtins(loaded(value, tmp_path))
-    assert {name: found[name] for name in ("consul", "peers")} == golden("section_defaults.json")
+    found = msgspec.to_builtins(load_configuration(value, tmp_path))
+    assert {name: found[name] for name in ("consul", "peers")} == read_golden(
+        "section_defaults.json"
+    )
 
 
-@pytest.mark.parametrize("path", [p for p in paths(full()) if p[0] != "tables"], ids=where)
+@pytest.mark.parametrize(
+    "path", [p for p in paths(full_configuration()) if p[0] != "tables"], ids=dotted_path
+)
 def test_a_misspelt_key_is_an_error_or_a_user_defined_name(path, tmp_path):
-    before = msgspec.to_builtins(loaded(full(), tmp_path))
+    before = msgspec.to_builtins(load_configuration(full_configuration(), tmp_path))
     try:
-        after = loaded(renamed(full(), path), tmp_path)
+        after = load_configuration(renamed(full_configuration(), path), tmp_path)
     except config_error():
         return
     assert path[-2] in (
@@ -606,7 +614,7 @@
 
 def test_a_roster_file_is_read_as_before():
     found = load_roster((GOLDEN / "roster.json5").read_text(), 2)
-    assert plain(found) == golden("roster_read.json")
+    assert plain(found) == read_golden("roster_read.json")
     for path in paths(pyjson5.decode((GOLDEN / "roster.json5").read_text())):
         text = renamed(pyjson5.decode((GOLDEN / "roster.json5").read_text()), path)
         with pytest.raises(config_error()):
@@ -615,8 +623,8 @@
 
 def test_the_script_of_a_day_is_read_as_before():
     text = (GOLDEN / "badday.json5").read_text()
-    assert msgspec.to_builtins(load_day(text)) == pyjson5.decode(text)
-    assert msgspec.to_builtins(load_day("{}")) == golden("badday_defaults.json")
+    assert msgspec.to_builtins(load_scenario(text)) == pyjson5.decode(text)
+    assert msgspec.to_builtins(load_scenario("{}")) == read_golden("badday_defaults.json")
 
 
 def node_values(value):
@@ -624,40 +632,42 @@
 
 
 def test_a_platform_configuration_is_read_as_before():
-    assert node_values(golden("node.json")) == golden("node_read.json")
+    assert node_values(read_golden("node.json")) == read_golden("node_read.json")
 
 
 def test_a_platform_configuration_has_the_same_defaults():
-    assert node_values(golden("node_short.json")) == golden("node_short_read.json")
+    assert node_values(read_golden("node_short.json")) == read_golden("node_short_read.json")
 
 
-@pytest.mark.parametrize("path", paths(golden("node.json")), ids=where)
+@pytest.mark.parametrize("path", paths(read_golden("node.json")), ids=dotted_path)
 def test_every_key_of_a_platform_configuration_takes_effect(path):
     """Unknown keys are ignored in this format, so a renamed key would be lost without an error."""
     try:
-        found = node_values(renamed(golden("node.json"), path))
+        found = node_values(renamed(read_golden("node.json"), path))
     except ValueError:
         return
-    assert found != golden("node_read.json")
+    assert found != read_golden("node_read.json")
 
 
 # ---- the simulator protocol ----
 
-DRILL_ACTIONS = golden("drill_actions.json")
+DRILL_ACTIONS = read_golden("drill_actions.json")
 
 
 def test_the_simulator_adapter_replies_to_recorded_lines_as_before():
     text = (GOLDEN / "drill_in.txt").read_text()
-    assert drill(text) == (0, (GOLDEN / "drill_out.txt").read_text())
+    assert run_adapter(text) == (0, (GOLDEN / "drill_out.txt").read_text())
 
 
 def test_every_field_of_the_simulators_lines_is_parsed_as_before():
-    lines, values = golden("drill_events.json")
-    assert plain(drill_events(lines)) == values
+    lines, values = read_golden("drill_events.json")
+    assert plain(parse_adapter_events(lines)) == values
 
 
 def test_every_action_is_written_to_the_simulator_as_before():
-    assert drill_lines([case[:2] for case in DRILL_ACTIONS]) == [case[2] for case in DRILL_ACTIONS]
+    assert format_adapter_lines([case[:2] for case in DRILL_ACTIONS]) == [
+        case[2] for case in DRILL_ACTIONS
+    ]
 
 
 def test_the_recorded_lines_contain_each_kind_of_message():
@@ -698,7 +708,7 @@
     assert done.returncode == 2 and b"/nowhere: cannot be read" in done.stderr
 
 
-COMMANDS = golden("commands.json")
+COMMANDS = read_golden("commands.json")
 
 
 @pytest.mark.parametrize("words", COMMANDS, ids=lambda words: words[:60])
--- a/tests/test_hold_ups.py
+++ b/tests/test_hold_ups.py
@@ -15,7 +15,10 @@
 
 
 async def warm_up(client, leaf, count):
-    """Answer `count` parts after WORK_S each, to set the median latency; return the leaf's link."""
+    """Answer `count` parts after WORK_S each, to set the median latency.
+
+    Return the leaf's end of the connection.
+    """
     for n in range(count):
         client.send_bytes(request(f"w{n}", "read", (0,), timeout_ms=4000))
         if not n:
--- a/tests/test_server_health.py
+++ b/tests/test_server_health.py
@@ -62,7 +62,7 @@
 
 
 def test_a_delay_before_the_bytes_were_sent_is_no_loss_of_an_idle_connection():
-    """Guards against closing idle_losses connections as lost because of a delay in the root."""
+    """Guards against closing idle connections as lost because of a delay in the root."""
     root, part, server = root_with_part_in_flight()
     root.end_attempt(part)
     root.now += 3 * S
