--- a/mothnotch/audit/peers.py
+++ b/mothnotch/audit/peers.py
@@ -16,7 +16,7 @@
     root: int
     asked: float
     at: float
-    view: object  # peers.codec.View
+    view: object  # peers.wire.View
 
 
 @dataclass(slots=True)
@@ -47,6 +47,7 @@
 
     While only one of its links is cut, other roots vouch for it by indirect probes.
     """
+    # Of a link between m and o, one of which is n, the other end is m + o - n.
     cut = [(m + o - n, a, b) for m, o, a, b in record.cut_intervals if n in (m, o)]
     isolated = (
         [(a, b) for _, a, b in cut]
--- a/mothnotch/audit/rules.py
+++ b/mothnotch/audit/rules.py
@@ -188,7 +188,7 @@
     A departure lasts from the time a root is told that the leaf leaves until it is told that the
     leaf is up. The delay is the time from its start to the last new part that the root sent to the
     leaf during it, 0 if there was none. The leaf was busy if the root had sent to it in the second
-    before.
+    before. A leaf that is not up in the first update to a root does not count as departing then.
     """
     arrival_times = defaultdict(list)
     roots = {query.id: query.root for query in record.queries}
--- a/mothnotch/badday/catalogue.py
+++ b/mothnotch/badday/catalogue.py
@@ -131,22 +131,27 @@
                 setattr(agent.faults, name, getattr(Faults(), name))
 
     async def do_consul_slow(self, fault, names):
+        """Agents answer `factor` tenths of a second late."""
         await self.set_agent_faults(fault, delay_s=fault.factor / 10)
 
     async def do_consul_silent(self, fault, names):
         await self.set_agent_faults(fault, silent=True)
 
     async def do_consul_errors(self, fault, names):
+        """Agents answer with status 500 or, if `share` is at most 0.7, with 429."""
         await self.set_agent_faults(fault, status=500 if fault.share > 0.7 else 429)
 
     async def do_consul_garbage(self, fault, names):
+        """Agents send invalid answers of the kind that `factor` selects."""
         kinds = ("json", "cut", "deep", "headers")
         await self.set_agent_faults(fault, garbage=kinds[int(fault.factor) % len(kinds)])
 
     async def do_consul_hidden(self, fault, names):
+        """Agents hide all entries, as an ACL would, and mark their answers as filtered."""
         await self.set_agent_faults(fault, filtered=True)
 
     async def do_consul_lag(self, fault, names):
+        """Agents are cut off from their servers and serve a snapshot."""
         agents = self.chosen_agents(fault)
         for agent in agents:
             agent.set_lag(True)
@@ -155,6 +160,7 @@
             agent.set_lag(False)
 
     async def do_consul_crash(self, fault, names):
+        """Agents end, and are started again."""
         agents = self.chosen_agents(fault)
         for agent in agents:
             agent.stop()
--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -1,4 +1,4 @@
-"""Plays a scenario with leaves, roots, clients and faults, over sockets or in memory.
+"""Play a scenario with leaves, roots, clients and faults, over sockets or in memory.
 
 Over sockets, each root is a process (`mothnotch serve`), and the rules are checked on what is
 observed outside these processes. In memory, the same code runs on trio's MockClock, a virtual clock
@@ -181,6 +181,7 @@
         await self.set_leaf_faults(fault, names, slow=fault.factor)
 
     async def do_shared_slow(self, fault, names):
+        """All leaves are slow, by a factor of at most 2."""
         await self.set_leaf_faults(fault, list(self.fleet.leaves), slow=min(fault.factor, 2.0))
 
     async def do_fast_errors(self, fault, names):
@@ -191,9 +192,11 @@
         await self.set_leaf_faults(fault, names, lose=fault.share)
 
     async def do_idle_reap(self, fault, names):
+        """Leaves drop idle connections, without closing them if `share` is above 0.9."""
         await self.set_leaf_faults(fault, names, idle_reap_s=0.2, silent_reap=fault.share > 0.9)
 
     async def do_pauses(self, fault, names):
+        """Leaves pause for 0.25 s, about every 0.8 s."""
         end = trio.current_time() + fault.lasts
         while trio.current_time() < end:
             for leaf in self.leaves_named(names):
@@ -225,6 +228,7 @@
         self.publish_roster()
 
     async def do_flapping(self, fault, names):
+        """Leaves stop for 0.3 s and restart, about once a second."""
         end = trio.current_time() + fault.lasts
         while trio.current_time() < end:
             for leaf in self.leaves_named(names):
@@ -281,6 +285,7 @@
         self.publish_roster()
 
     async def do_retry_abuse(self, fault, names):
+        """All refused clients retry at once."""
         self.retry_probability = 1.0
         await trio.sleep(fault.lasts)
         self.retry_probability = self.scenario.load.retry
--- a/mothnotch/badday/script.py
+++ b/mothnotch/badday/script.py
@@ -86,8 +86,8 @@
     at: float
     lasts: float = msgspec.field(default=2.0, name="for")
     leaves: int | list[str] = 1  # names, or the number of leaves to choose
-    factor: float = 8.0  # of slowness or load
-    share: float = 0.9  # of failures
+    factor: float = 8.0  # by which latency or load grows; some kinds use it otherwise
+    share: float = 0.9  # probability of a failure
     roots: list[int] = []
     to: list[int] | None = None  # other ends of the links; None: all other roots
     ms: float = 0.0  # delay on links, and the maximum of the jitter on top
@@ -116,8 +116,9 @@
     work_ms: float = 4.0
     cold_from: float = 0.3  # share of its capacity that a leaf has just after a start
     cold_s: float = 4.0  # until it has its full capacity
-    fall_multiple: float = 3.0  # a leaf fails if it is sent more than this multiple of its capacity
-    fall_s: float = 2.0  # for so long
+    # A cold leaf fails if it is sent more than this multiple of its capacity within `fall_s`.
+    fall_multiple: float = 3.0
+    fall_s: float = 2.0
     fresh: bool = False  # whether all leaves have only just started when the scenario begins
 
 
--- a/tests/test_decisions_beside.py
+++ b/tests/test_decision_modules.py
@@ -40,7 +40,7 @@
     assert outcomes.result_before_commit(i.Result.REJECTED) is i.Result.REJECTED
 
 
-def test_errors_sent_to_clients():
+def test_errors_sent_to_clients_state_when_to_retry_and_whether_a_write_may_have_run():
     error = outcomes.rejection(300_001)
     assert (error.sqlstate, error.detail) == ("53000", "retry_after_ms=301")
     assert "301 ms" in error.hint
--- a/tests/test_drivers.py
+++ b/tests/test_drivers.py
@@ -232,7 +232,7 @@
     assert "24 bin ranges" in pg.execute("EXPLAIN SELECT count(*) FROM stock").fetchone()[0]
 
 
-def test_asyncpg(run):
+def test_asyncpg_reads_writes_cursors_and_pools_give_the_expected_rows(run):
     async def run_statements():
         c = await asyncpg.connect(
             host=run.host, port=run.port, user="me", database="stock", ssl=False
@@ -280,7 +280,7 @@
     asyncio.run(run_statements())
 
 
-def test_pg8000(run):
+def test_pg8000_reads_match_an_unsharded_database_and_writes_are_visible(run):
     c = pg8000.dbapi.connect(user="me", host=run.host, port=run.port, database="stock")
     cursor = c.cursor()
     cursor.execute(
@@ -305,7 +305,7 @@
 
 
 @pytest.mark.parametrize("driver", ["psycopg", "pg8000"])
-def test_sqlalchemy(run, driver):
+def test_sqlalchemy_reads_match_an_unsharded_database_and_writes_are_visible(run, driver):
     engine = sa.create_engine(run.url().replace("postgresql", f"postgresql+{driver}"))
     metadata = sa.MetaData()
     stock = sa.Table(
@@ -349,7 +349,7 @@
     engine.dispose()
 
 
-def test_sqlalchemy_over_asyncpg(run):
+def test_sqlalchemy_over_asyncpg_binds_parameters_and_sees_its_writes(run):
     async def run_statements():
         engine = create_async_engine(run.url().replace("postgresql", "postgresql+asyncpg"))
         async with engine.begin() as c:
@@ -373,7 +373,7 @@
 
 
 @pytest.mark.skipif(shutil.which("psql") is None, reason="psql is not installed")
-def test_psql(run):
+def test_psql_runs_statements_and_gets_the_unsharded_count(run):
     process = subprocess.run(
         [
             "psql",
--- a/tests/test_known_failures.py
+++ b/tests/test_known_failures.py
@@ -71,7 +71,7 @@
     assert run(tmp_path, "", "test_red").returncode == 1
 
 
-def test_entries_are_parsed():
+def test_valid_entries_keep_their_test_or_module_frequency_and_issue():
     text = (
         "tests/test_x.py::test_y | always | a leaf is marked | issue 50\n\n"
         "python -m mothnotch.soak.run --seeds 7 | sometimes | lost | issue 51\n"
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -465,7 +465,7 @@
     run_on_virtual_clock(test)
 
 
-def test_health_checks_are_performed():
+def test_health_check_returns_the_load_report_or_unsent_for_an_unknown_leaf():
     async def test(env):
         events = []
         assert (await (await env.client()).ask("r1", "read", (0, 1, 2, 3)))[0] == 200
