--- a/mothnotch/config/conversion.py
+++ b/mothnotch/config/conversion.py
@@ -20,11 +20,11 @@
         late_weight=config.late_worth,
         idempotency=Idempotency(config.repeat),
         idempotency_window_us=None if window_ms is None else microseconds(window_ms),
-        objective_stretch=config.aim_stretch,
+        objective_cost_factor=config.aim_stretch,
         min_answer_weight=config.floor,
         complete_weight=config.whole_at,
         partial_weight=config.partial_worth,
-        second_step=0,
+        second_step_parts=0,
     )
 
 
@@ -53,7 +53,7 @@
         initial_capacity=rules.cold_from,
         slow_start_us=int(rules.cold_s * 1e6),
         collapse_multiple=rules.fall_multiple,
-        collapse_us=int(rules.fall_s * 1e6),
+        collapse_window_us=int(rules.fall_s * 1e6),
         retry_budget_ratio=rules.budget_share,
         retry_budget_minimum=rules.budget_free,
         retry_budget_window_us=None if window_s is None else int(window_s * 1e6),
--- a/mothnotch/config/root_config.py
+++ b/mothnotch/config/root_config.py
@@ -59,20 +59,20 @@
     def settings(self) -> Settings:
         """Return the settings of the decisions."""
         return Settings(
-            roots=self.root.roots,
-            me=self.root.me,
+            root_count=self.root.roots,
+            root_index=self.root.me,
             zone=self.root.zone,
             classes={
                 name: build_query_class(name, config) for name, config in self.classes.items()
             },
-            tenants=self.tenants,
+            tenant_quotas_qps=self.tenants,
             over_quota_weight=self.over_share_worth,
-            cells=self.cells,
-            reach=self.reach,
-            call_work_us=microseconds(self.call_work_ms),
+            cell_count=self.cells,
+            cells_per_shard=self.reach,
+            call_overhead_us=microseconds(self.call_work_ms),
             parts_per_call=PARTS_PER_CALL,
-            must_poll=False,
-            weighted=self.weighted,
+            must_subscribe=False,
+            has_endpoint_weights=self.weighted,
             tick_us=microseconds(self.root.tick_ms),
             limits=build_limits(self.limits, self.leaves),
             rules=build_rules(self.rules),
--- a/mothnotch/decisions/balancer/admission.py
+++ b/mothnotch/decisions/balancer/admission.py
@@ -86,8 +86,12 @@
         """
         now_us = self._turn.now_us
         query_class = query.query_class
-        needed_parts = len(parts) * min(1.0, query_class.complete_weight) + query_class.second_step
-        part_cost_us = self._work_estimates.by_class[query_class.name] + self._settings.call_work_us
+        needed_parts = (
+            len(parts) * min(1.0, query_class.complete_weight) + query_class.second_step_parts
+        )
+        part_cost_us = (
+            self._work_estimates.by_class[query_class.name] + self._settings.call_overhead_us
+        )
         value = query_class.priority_weight / (needed_parts * part_cost_us)
         if not self._quotas.take(query.tenant, now_us):
             value *= self._settings.over_quota_weight
--- a/mothnotch/decisions/balancer/answers.py
+++ b/mothnotch/decisions/balancer/answers.py
@@ -89,7 +89,7 @@
 
     def _answer(self, query, is_complete):
         self._turn.emit(Answer(query.id, is_complete))
-        if query.step == 1 and query.query_class.second_step:
+        if query.step == 1 and query.query_class.second_step_parts:
             for part in query.begin_second_step(is_complete):
                 self.cancel(part)
         else:
--- a/mothnotch/decisions/balancer/arrivals.py
+++ b/mothnotch/decisions/balancer/arrivals.py
@@ -51,7 +51,7 @@
 
     def on_part_arrived(self, event: PartArrived) -> None:
         """Take a part in, unless its query has had its final answer."""
-        query = self._queries.by_number.get(event.number)
+        query = self._queries.by_number.get(event.query_number)
         if query is None:
             return
         self._retry_limits.record_part(self._turn.now_us)
--- a/mothnotch/decisions/balancer/discovery.py
+++ b/mothnotch/decisions/balancer/discovery.py
@@ -43,7 +43,7 @@
             self._subscribe_later()
             return
         self._backoff_us = 0
-        if event.kind is WatchEventKind.CACHED and self._settings.must_poll:
+        if event.kind is WatchEventKind.CACHED and self._settings.must_subscribe:
             self._turn.emit(Subscribe())
         for endpoint in event.entries:
             self._update(endpoint)
@@ -59,8 +59,8 @@
 
     def holders(self, shard: int) -> list[Server]:
         """Return the servers that hold the shard, in no order that means anything."""
-        cells = self._settings.cells
-        reach = min(self._settings.reach, cells)
+        cells = self._settings.cell_count
+        reach = min(self._settings.cells_per_shard, cells)
         return [
             server
             for step in range(reach)
@@ -77,7 +77,7 @@
     def _update(self, endpoint: Endpoint):
         server = self.servers.get(endpoint.server)
         if server is None:
-            slow_start = SlowStartCapacity(self._settings.rules, self._settings.roots)
+            slow_start = SlowStartCapacity(self._settings.rules, self._settings.root_count)
             server = Server(
                 endpoint.server, self._fleet, slow_start, self._turn.now_us, self._settings.tick_us
             )
--- a/mothnotch/decisions/balancer/placement.py
+++ b/mothnotch/decisions/balancer/placement.py
@@ -44,7 +44,7 @@
     def ready_holders(self, part: Part) -> list[Server]:
         """Return the holders with capacity for the part, in hash order: its home first."""
         weighted = [
-            (server.weight if self._settings.weighted else 1.0, server.id, server)
+            (server.weight if self._settings.has_endpoint_weights else 1.0, server.id, server)
             for server in self.holders(part)
         ]
         return [
--- a/mothnotch/decisions/balancer/query_times.py
+++ b/mothnotch/decisions/balancer/query_times.py
@@ -49,6 +49,6 @@
         is_within_quota = self._quotas.is_within(event.tenant, now_us)
         if left_us > SHORTENED_SHARE * usual_us:
             return now_us
-        if self._settings.marks_retries and not event.is_retry and is_within_quota:
+        if self._settings.clients_mark_retries and not event.is_retry and is_within_quota:
             return now_us
         return event.deadline_us - query_class.deadline_us
--- a/mothnotch/decisions/balancer/records.py
+++ b/mothnotch/decisions/balancer/records.py
@@ -9,9 +9,9 @@
     def __init__(self, event: QueryArrived, query_class: QueryClass):
         """Record the query; its times and parts are set by who takes it."""
         self.id = event.query
-        self.number = event.number
+        self.number = event.query_number
         self.query_class = query_class
-        self.key = event.key or event.query
+        self.key = event.affinity_key or event.query
         self.tenant = event.tenant
         self.objective_at_us = None  # an answer by then earns its full worth
         self.give_up_at_us = None  # no answer is wanted after that
--- a/mothnotch/decisions/balancer/sending.py
+++ b/mothnotch/decisions/balancer/sending.py
@@ -80,7 +80,7 @@
             self._retry_limits.record_retry(now_us, 1 - part.retry_is_paid)
             part.query.retries += 1
             part.retry_is_paid = False
-        server.record_send(now_us, part.cost_us + self._settings.call_work_us)
+        server.record_send(now_us, part.cost_us + self._settings.call_overhead_us)
         self._close_idle_connections(server, part)
         attempt = Attempt(part, server, now_us, admitted)
         self.attempts[part.id, attempt.number] = attempt
--- a/mothnotch/decisions/balancer/slow_start.py
+++ b/mothnotch/decisions/balancer/slow_start.py
@@ -19,7 +19,7 @@
         self._roots = roots
         self._sent_us = 0  # the last send since its start
         self._part_to_save = 0.0  # share of a part's work to be saved up before it may be sent
-        super().__init__(rules.collapse_us)
+        super().__init__(rules.collapse_window_us)
 
     def restart(self, started_us: int, drawn: float) -> None:
         """Begin a slow start; `drawn` in [0, 1) says how much this root saves up for a first part.
@@ -52,6 +52,6 @@
         )
         saved_us = (now_us - max(self.started_us, self._sent_us)) * pace
         return (
-            self.total(now_us) + work_us <= pace * self._rules.collapse_us
+            self.total(now_us) + work_us <= pace * self._rules.collapse_window_us
             or saved_us >= self._part_to_save * work_us
         )
--- a/mothnotch/decisions/balancer/tenant_quotas.py
+++ b/mothnotch/decisions/balancer/tenant_quotas.py
@@ -12,8 +12,10 @@
     def __init__(self, settings: Settings):
         """Make the buckets; one holds at least one query, however many roots there are."""
         self._buckets = {
-            tenant: TokenBucket(1 + BURST_S * rate / settings.roots, rate / settings.roots)
-            for tenant, rate in settings.tenants.items()
+            tenant: TokenBucket(
+                1 + BURST_S * rate / settings.root_count, rate / settings.root_count
+            )
+            for tenant, rate in settings.tenant_quotas_qps.items()
         }
 
     def is_within(self, tenant: str | None, now_us: int) -> bool:
--- a/mothnotch/decisions/interface.py
+++ b/mothnotch/decisions/interface.py
@@ -66,11 +66,11 @@
     late_weight: float  # share of the worth paid after the latency objective
     idempotency: Idempotency
     idempotency_window_us: int | None  # WITH_KEY: how long a repeat is dropped
-    objective_stretch: float  # the objective grows by this multiple of the query's own work
+    objective_cost_factor: float  # the objective grows by this multiple of the query's own work
     min_answer_weight: float  # least weight an answer may be given from
     complete_weight: float  # weight that makes a complete answer
     partial_weight: float  # share of the worth paid for an answer that is not complete
-    second_step: int  # parts of a second step; 0: there is none
+    second_step_parts: int  # parts of a second step; 0: there is none
 
     @property
     def min_weight(self) -> float:
@@ -86,7 +86,9 @@
 
     def latency_objective_of(self, cost_us: float) -> float:
         """Return the latency objective of a query that makes so much work."""
-        return min(self.latency_objective_us + self.objective_stretch * cost_us, self.deadline_us)
+        return min(
+            self.latency_objective_us + self.objective_cost_factor * cost_us, self.deadline_us
+        )
 
 
 @dataclass(slots=True, frozen=True)
@@ -111,7 +113,7 @@
     initial_capacity: float  # a server starts with at least this share of its capacity
     slow_start_us: int  # and is warm no later than this
     collapse_multiple: float  # a server warming up collapses at this multiple of its capacity
-    collapse_us: int  # held for so long
+    collapse_window_us: int  # held for so long
     retry_budget_ratio: float | None  # retries for each query or part taken; None: no budget
     retry_budget_minimum: int  # and so many on top
     retry_budget_window_us: int | None
@@ -132,23 +134,25 @@
 class Settings:
     """What a root knows of its deployment before it begins."""
 
-    roots: int
-    me: int  # this root's number among them
+    root_count: int
+    root_index: int  # this root's number among them
     zone: str
     classes: dict[str, QueryClass]
-    tenants: dict[str, float]  # tenant -> queries a second within its quota, all roots together
+    tenant_quotas_qps: dict[
+        str, float
+    ]  # tenant -> queries a second within its quota, all roots together
     over_quota_weight: float  # share of its worth that a query beyond its tenant's quota counts
-    cells: int  # shard s is held by cells s, s+1 .. s+reach-1, modulo cells
-    reach: int
-    call_work_us: int  # work of a call beside its parts
+    cell_count: int  # shard s is held by cells s, s+1 .. s+cells_per_shard-1, modulo cell_count
+    cells_per_shard: int
+    call_overhead_us: int  # work of a call beside its parts
     parts_per_call: int
-    must_poll: bool  # the endpoint list comes only when asked for
-    weighted: bool  # the endpoint list states weights
+    must_subscribe: bool  # the endpoint list comes only when asked for
+    has_endpoint_weights: bool  # the endpoint list states weights
     tick_us: int  # the time step of the deployment
     limits: Limits
     rules: Rules
     prices: dict[str, float]
-    marks_retries: bool = False  # clients say so when they ask again
+    clients_mark_retries: bool = False  # clients say so when they ask again
 
 
 # ---- events ----
@@ -180,10 +184,10 @@
     """A client sent a query; its parts follow in the same turn or, of a second step, later."""
 
     query: str
-    number: int  # parts name their query by this number
+    query_number: int  # parts name their query by this number
     class_name: str
     tenant: str | None
-    key: str | None  # queries of one key have the same homes
+    affinity_key: str | None  # queries of one key have the same homes
     deadline_us: int  # when the client gives this try up
     cost_us: int | None  # rough work of all parts
     is_retry: bool  # the client says it asked before
@@ -194,7 +198,7 @@
     """One part of a query is to be answered."""
 
     part: str
-    number: int  # its query's
+    query_number: int  # its query's
     shard: int
     weight: float  # share of the query's answer; those of one step sum to 1
     cost_us: int | None  # rough work
@@ -253,7 +257,7 @@
 
     part: str
     server: str
-    limit_us: int  # the attempt times out then
+    timeout_us: int  # the attempt times out then
     # It may leave so long after another attempt of its part that may have run.
     retry_window_us: float = math.inf
 
--- a/mothnotch/decisions/settings.py
+++ b/mothnotch/decisions/settings.py
@@ -19,28 +19,28 @@
     """
     family = options["familyInfo"]
     return Settings(
-        roots=options.get("balancers", 1),
-        me=options.get("me", 0),
+        root_count=options.get("balancers", 1),
+        root_index=options.get("me", 0),
         zone=options.get("zone", ""),
         classes={
             lane["name"]: _query_class(lane, family, number)
             for number, lane in enumerate(options["lanes"])
         },
-        tenants={
+        tenant_quotas_qps={
             tenant["name"]: tenant["allowancePerS"] for tenant in options.get("tenants") or ()
         },
         over_quota_weight=options.get("overShareWorth", 1.0),
-        cells=family["positions"],
-        reach=family["reach"],
-        call_work_us=family.get("perCallWorkUs", 0),
+        cell_count=family["positions"],
+        cells_per_shard=family["reach"],
+        call_overhead_us=family.get("perCallWorkUs", 0),
         parts_per_call=family.get("perCall", 1),
-        must_poll=options.get("discovery") == "subscribe",
-        weighted=options.get("weightSource", "off") != "off",
+        must_subscribe=options.get("discovery") == "subscribe",
+        has_endpoint_weights=options.get("weightSource", "off") != "off",
         tick_us=options["stepUs"],
         limits=_limits(options.get("limits", {})),
         rules=_rules(options.get("rules", {})),
         prices=options.get("prices", {}),
-        marks_retries=bool((options.get("clients") or {}).get("marksRetry")),
+        clients_mark_retries=bool((options.get("clients") or {}).get("marksRetry")),
     )
 
 
@@ -60,11 +60,11 @@
         late_weight=lane.get("lateWorth", 0.0),
         idempotency=IDEMPOTENCY_BY_WORD[lane["semantics"]],
         idempotency_window_us=lane.get("repeatWindowUs"),
-        objective_stretch=lane.get("aimStretch") or 0.0,
+        objective_cost_factor=lane.get("aimStretch") or 0.0,
         min_answer_weight=by_number("floorByClass", complete_weight),
         complete_weight=complete_weight,
         partial_weight=by_number("classPartial", 0.0),
-        second_step=by_number("secondStep", 0),
+        second_step_parts=by_number("secondStep", 0),
     )
 
 
@@ -87,7 +87,7 @@
         initial_capacity=rules.get("coldFrom", 1.0),
         slow_start_us=rules.get("rampTimeUs", 0),
         collapse_multiple=rules.get("fallMultiple", 1.0),
-        collapse_us=rules.get("fallUs", 0),
+        collapse_window_us=rules.get("fallUs", 0),
         retry_budget_ratio=rules.get("repeatRatio"),
         retry_budget_minimum=rules.get("spareAttempts", 0),
         retry_budget_window_us=rules.get("lookBackUs"),
--- a/mothnotch/node/config.py
+++ b/mothnotch/node/config.py
@@ -84,13 +84,13 @@
         settings = simulator.settings(file.settings)
         limits = file.settings.get("limits", {})
         family = file.settings["familyInfo"]
-        shards = int(family.get("slabs", settings.cells))
+        shards = int(family.get("slabs", settings.cell_count))
         streams = int(limits.get("multiplex") or 1)
         idle_us = int(limits.get("idleCloseUs") or IDLE_CLOSE_US)
         most_open = limits.get("openCap")
     except (KeyError, TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{path}: settings: {type(error).__name__}: {error}") from None
-    if shards < 1 or streams < 1 or settings.cells < 1 or not settings.classes:
+    if shards < 1 or streams < 1 or settings.cell_count < 1 or not settings.classes:
         raise ConfigError(
             f"{path}: settings: slabs, positions, multiplex and lanes must not be empty"
         )
--- a/mothnotch/node/requests.py
+++ b/mothnotch/node/requests.py
@@ -149,8 +149,8 @@
 
 
 def _tenant(headers, settings):
-    tenant = headers.get("x-tenant-id") or None if settings.tenants else None
-    if tenant is not None and tenant not in settings.tenants:
+    tenant = headers.get("x-tenant-id") or None if settings.tenant_quotas_qps else None
+    if tenant is not None and tenant not in settings.tenant_quotas_qps:
         raise BadRequestError(400, "X-Tenant-Id: no such tenant")
     return tenant
 
--- a/mothnotch/root/actions.py
+++ b/mothnotch/root/actions.py
@@ -52,7 +52,7 @@
         core = self._core
         part = core.parts[action.part]
         attempt = Attempt(
-            core, part, part.sends, action.server, action.limit_us, action.retry_window_us
+            core, part, part.sends, action.server, action.timeout_us, action.retry_window_us
         )
         part.in_flight[part.sends] = attempt
         part.sends += 1
@@ -67,7 +67,7 @@
                 part=action.part,
                 attempt=attempt.number,
                 leaf=action.server,
-                limit_us=action.limit_us,
+                limit_us=action.timeout_us,
                 after=part.last_failure.value if part.last_failure else None,
             )
         self.sends.setdefault(action.server, []).append(attempt)
--- a/mothnotch/root/core.py
+++ b/mothnotch/root/core.py
@@ -241,4 +241,4 @@
         known = self.balancer.work_estimates.by_class.values()
         usual_us = self.balancer.latency_objective_us / 10
         work_us = sum(known) / len(known) if known else usual_us
-        return work_us + self.settings.call_work_us
+        return work_us + self.settings.call_overhead_us
--- a/mothnotch/simulator_wire.py
+++ b/mothnotch/simulator_wire.py
@@ -177,7 +177,7 @@
 
 _ACTION_WRITERS: dict[type, Callable[[int, Action], str]] = {
     Send: lambda root, send: (
-        f"FORWARD root={root} ticket={send.part} leaf={send.server} limitUs={send.limit_us}"
+        f"FORWARD root={root} ticket={send.part} leaf={send.server} limitUs={send.timeout_us}"
     ),
     Cancel: lambda root, cancel: f"ABANDON root={root} ticket={cancel.part} n={cancel.attempt}",
     Answer: lambda root, answer: (
