--- a/mothnotch/root/__init__.py
+++ b/mothnotch/root/__init__.py
@@ -1,1 +1,1 @@
-"""The running root: one task owns the Balancer and carries out what it decides."""
+"""The running root: one task owns the Balancer and carries out its decisions."""
--- a/mothnotch/root/actions.py
+++ b/mothnotch/root/actions.py
@@ -1,4 +1,4 @@
-"""Carries out the balancer's actions; it decides none of them."""
+"""Carry out the balancer's actions; no decision is made here."""
 
 from mothnotch.decisions import coverage
 from mothnotch.decisions.interface import (
@@ -20,13 +20,14 @@
 
 
 class ActionHandlers:
-    """One handler a kind of action. `sends` holds this turn's attempts by server, in their order.
+    """One handler for each kind of action.
 
-    Bounds: `sends` holds what one turn decided; the turn empties it.
+    `sends` maps each server to the attempts decided in this turn, in order. Bounds: it holds the
+    attempts of one turn; the dispatcher empties it at the end of the turn.
     """
 
     def __init__(self, core):
-        """Make handlers that act on the core's table, leaves and counters."""
+        """Create handlers that act on the core's table, leaves and counters."""
         self._core = core
         self.sends = {}
 
@@ -48,7 +49,7 @@
     # ---- attempts ----
 
     def send(self, action: Send):
-        """Make an attempt, to be sent at the end of the turn."""
+        """Create an attempt, to be sent at the end of the turn."""
         core = self._core
         part = core.parts[action.part]
         attempt = Attempt(
@@ -57,7 +58,8 @@
         part.in_flight[part.sends] = attempt
         part.sends += 1
         if part.query.outcome is not None:
-            # The client disconnected while this was decided: nothing is sent after a final answer.
+            # The client disconnected before this decision was carried out: nothing is sent after a
+            # final answer.
             attempt.complete(Result.UNSENT)
             return
         core.counts["sends"] += 1
@@ -86,8 +88,8 @@
         if attempt.call is None or attempt.call.sent:
             attempt.complete(Result.CANCELLED)
         elif not attempt.is_superseded:
-            # Cancelled before any of it was sent: proven not to have run. As its part is still
-            # wanted, the wait for a connection says something of the leaf.
+            # Cancelled before any byte was sent, so it has not run. Its part is still unanswered:
+            # the wait for a connection counts against the leaf.
             attempt.complete(Result.UNREACHABLE)
         else:
             attempt.complete(Result.UNSENT)
@@ -97,7 +99,7 @@
     # ---- final answers ----
 
     def answer(self, action: Answer):
-        """Answer a query from the parts that are in."""
+        """Answer a query with the parts that have been answered."""
         core = self._core
         query = core.queries.get(action.query)
         if query is None:
@@ -106,7 +108,7 @@
         self._finish(action.query, self._answered(query, action.complete), "answered")
 
     def _answered(self, query, complete):
-        """Return the outcome of a query with the rows of its answered parts."""
+        """Return the outcome of a query, with the rows of its answered parts."""
         now_us = self._core.dispatcher.now_us
         outcome = Outcome(FinalStatus.ANSWERED, complete)
         for number, part in enumerate(query.parts):
@@ -121,15 +123,15 @@
         return outcome
 
     def reject(self, action: Reject):
-        """Answer a query that it is rejected, with the advice when to ask again."""
+        """Reject a query, and advise the client when to retry."""
         outcome = Outcome(FinalStatus.REJECTED, retry_after_us=action.retry_after_us)
         self._finish(action.query, outcome, "refused", action.reason)
 
     def fail(self, action: Fail):
-        """Answer a query that it failed, and whether an effect of it may have taken place."""
+        """Fail a query, and state whether it may have taken effect."""
         core = self._core
         query = core.queries.get(action.query)
-        # Its attempts are cancelled in this very turn, so that no COMMIT can be sent any more.
+        # The query's attempts are cancelled in this same turn, so no COMMIT can be sent later.
         committing = query is not None and any(part.committing for part in query.parts)
         may_have_run = not core.settings.limits.cancel or committing
         outcome = Outcome(FinalStatus.FAILED, may_have_run=may_have_run)
@@ -139,7 +141,7 @@
         core = self._core
         query = core.queries.get(query_id)
         if query is None:
-            # The client disconnected in this very turn.
+            # The client disconnected earlier in this turn.
             return
         if core.trace.on:
             core.trace.note("final", query=query_id, outcome=counter, why=reason)
@@ -148,10 +150,10 @@
         core.counts[counter] += 1
         core.close(query, outcome)
 
-    # ---- the rest ----
+    # ---- other actions ----
 
     def set_timer(self, action: SetTimer):
-        """Have the balancer called again after a delay."""
+        """Schedule the next call of the balancer after a delay."""
         self._core.dispatcher.set_timer(action.delay_us)
 
     def check_health(self, action: HealthCheck):
@@ -163,9 +165,9 @@
         self._core.leaves.disconnect(action.server)
 
     def subscribe(self, action: Subscribe):
-        """Wake whoever follows discovery, to ask for the endpoint list again."""
+        """Wake the discovery watch, so that it requests the endpoint list again."""
         self._core.request_endpoints()
 
     def log(self, action: Log):
-        """Log what the balancer says."""
+        """Write the balancer's message to the log."""
         self._core.log.info("module", text=action.text)
--- a/mothnotch/root/attempt.py
+++ b/mothnotch/root/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt of a part, from the balancer's decision to its one completion."""
+"""One attempt of a part, from the balancer's decision to its completion."""
 
 import math
 
@@ -9,10 +9,10 @@
 
 
 class Attempt:
-    """One send of a part.
+    """One attempt to have a part answered by a server.
 
-    The leaf's driver tells it of its first byte (`on_sending`) and its last (`on_sent`), adds the
-    rows that come, and calls `complete` once; a later call does nothing.
+    The leaf's driver calls `on_sending` before the first byte is sent and `on_sent` after the last,
+    adds the rows that it receives, and calls `complete` once; later calls have no effect.
     """
 
     __slots__ = (
@@ -38,10 +38,10 @@
         limit_us: int,
         retry_window_us: float = math.inf,
     ):
-        """Dispatch an attempt of a part to a server.
+        """Create an attempt of a part at a server.
 
-        `limit_us`: its time-out. `retry_window_us`: for how long after another attempt that may
-        have run it may be sent.
+        `limit_us`: its timeout. `retry_window_us`: how long after an earlier attempt that may have
+        run this one may still be sent.
         """
         self.core = core
         self.part = part
@@ -50,33 +50,33 @@
         self.limit_us = limit_us
         self.retry_window_us = retry_window_us
         self.dispatched_us = now_us()
-        # When its bytes were sent, once they were.
+        # When its bytes were sent; until then, when it was dispatched.
         self.sent_us = self.dispatched_us
         self.ended = False
-        # The leaf driver's own handle.
+        # The leaf driver's handle of the call; None until the driver sets it.
         self.call = None
-        # The rows that came, if any.
+        # The rows received so far; None before the first.
         self.spool = None
 
     @property
     def payload(self) -> object:
-        """Return what the leaf's driver sends."""
+        """The content that the leaf's driver sends."""
         return self.part.spec.payload
 
     @property
     def deadline(self) -> float:
-        """Return when it times out, in trio's seconds.
+        """The time at which the attempt times out, in seconds of trio's clock.
 
-        Never after the client's deadline, which the leaf is told.
+        The leaf is told this deadline; it is never later than the client's.
         """
         return min(self.dispatched_us + self.limit_us, self.part.query.request.deadline_us) / 1e6
 
     @property
     def past_retry_window(self) -> bool:
-        """Whether it may not be sent, nor take effect, any more.
+        """Whether the attempt may no longer be sent or take effect.
 
-        An attempt of its part that was sent before may have run, so that this one could be a second
-        effect.
+        An earlier attempt of the same part may have run, so this one could take effect a second
+        time.
         """
         others = [
             sent_us
@@ -87,16 +87,16 @@
 
     @property
     def is_superseded(self) -> bool:
-        """Whether nobody needs it any more.
+        """Whether the attempt is no longer needed.
 
-        Its part was answered by another attempt, or its query has had its final answer.
+        Its part was answered by another attempt, or its query has its final answer.
         """
         return self.part.rows is not None or self.part.query.outcome is not None
 
     def exceeds_retry_budget(self, others: list["Attempt"]) -> bool:
-        """Return whether it is a retry for which no budget is left at this moment.
+        """Return whether this is a retry for which no retry budget is left now.
 
-        `others`: attempts that are to be sent with it.
+        `others`: attempts that will be sent together with this one.
         """
         ahead = sum(other.part.has_begun_sending for other in others)
         return self.part.has_begun_sending and not self.core.further.may_send(now_us(), ahead)
@@ -108,7 +108,7 @@
         self.part.has_begun_sending = True
 
     def on_sent(self, at_us: int):
-        """Record that its bytes were sent: from now on it may run."""
+        """Record that its last byte was sent; from then on it may run."""
         self._check_send(at_us)
         self.sent_us = at_us
         self.part.sent_us_by_attempt[self.number] = at_us
@@ -131,9 +131,9 @@
         )
 
     def add_row(self, row: object, size: int):
-        """Keep a row of `size` bytes that came for this attempt, if anybody still wants it.
+        """Store a received row of `size` bytes, unless the attempt or its query has ended.
 
-        Where neither memory nor disk has room, the query ends with its overflow error.
+        If neither memory nor disk has space, the query ends with its overflow error.
         """
         core = self.core
         query = self.part.query
@@ -144,11 +144,13 @@
         try:
             self.spool.add(row, size)
         except core.holding.error as error:
-            core.log.warning("no room for a query's rows", query=query.id, why=str(error))
+            core.log.warning(
+                "no memory or disk space for a query's rows", query=query.id, why=str(error)
+            )
             core.query_error(query, query.request.overflow)
 
     def take_rows(self) -> object:
-        """Return the rows kept so far; from now on they are the caller's."""
+        """Return the rows stored so far and hand them over to the caller."""
         rows = self.spool
         self.spool = None
         return () if rows is None else rows
@@ -160,18 +162,18 @@
         report: dict[str, float] | None = None,
         at_us: int | None = None,
     ):
-        """Tell the balancer how it ended.
+        """End the attempt, and tell the balancer the result.
 
         With OK, `rows` is the part's answer. `report`: the leaf's load report. `at_us`: when the
-        end of it was received, where that is known to have been before now.
+        result was received, if that is known to be earlier than now.
         """
         if self.ended:
             return
         self.ended = True
         core = self.core
         part = self.part
-        # From when it was sent: the time that a connection took to make says nothing of how
-        # quickly the leaf works.
+        # Measured from when the attempt was sent: the time taken to connect says nothing about how
+        # fast the leaf answers.
         latency_us = max(0, (now_us() if at_us is None else at_us) - self.sent_us)
         self._record_result(result, rows, latency_us)
         if core.trace.on:
@@ -200,9 +202,9 @@
         part.answered_us = now_us()
 
     def query_error(self, error: object):
-        """Take the leaf's answer that the query itself is at fault as the query's final answer.
+        """Make the leaf's error, which the query itself caused, the query's final answer.
 
-        It is no mark against the server.
+        It does not count against the server.
         """
         self.complete(Result.OK)
         self.core.query_error(self.part.query, error)
--- a/mothnotch/root/core.py
+++ b/mothnotch/root/core.py
@@ -1,8 +1,8 @@
-"""The core: what frontends, leaf connections and discovery call, assembled from its parts.
+"""The core of a root: the interface that frontends, leaf connections and discovery call.
 
-Nothing here picks a server, a time-out, a retry, an answer or a rejection: the balancer does. The
-core keeps the records between the balancer, the frontends and the leaves: the request table, the
-deadlines, the dispatcher that calls the balancer, and the handlers of its actions.
+The balancer alone picks servers, timeouts, retries, answers and rejections. The core keeps the
+state between the balancer, the frontends and the leaves: the request table, the deadlines, the
+dispatcher that calls the balancer, and the handlers of its actions.
 """
 
 import itertools
@@ -34,15 +34,15 @@
 
 __all__ = ["Attempt", "Core", "OverloadedError", "now_us"]
 
-# Ids of open queries that are named at the end of a run: enough to search the log by.
+# Ids of open queries that are logged when a root stops: enough to search the log for.
 MOST_NAMED = 20
 
 
 class Core:
-    """The balancer and the records of what it decides on.
+    """The balancer and the state of the requests that it decides on.
 
-    Bounds: `most_queries` open at once, and `most_open` queries and parts together, past which
-    `submit` raises OverloadedError.
+    Bounds: `most_queries` open queries, and `most_open` open queries and parts together; beyond
+    either, `submit` raises OverloadedError.
     """
 
     def __init__(
@@ -57,8 +57,8 @@
     ):
         """Assemble a core.
 
-        `leaves.send(server, attempts)` sends; `log` has structlog's methods; `holding` keeps the
-        rows of queries, where a frontend's answers are rows.
+        `leaves.send(server, attempts)` sends attempts. `log` has structlog's methods. `holding`
+        stores the rows of queries; None if the frontend's answers are not rows.
         """
         self.settings = settings
         self.leaves = leaves
@@ -70,32 +70,32 @@
         self.queries = self.table.queries
         self.parts = self.table.parts
         self.deadlines = DeadlineGuard(self)
-        # Whether deadlines are guarded; off only to test the auditor.
+        # Whether deadlines are enforced; switched off only to test the checks of the audit.
         self.guard = True
         self.dispatcher = Dispatcher(self)
         self.actions = ActionHandlers(self)
-        # The handler of each kind of action.
+        # Maps each kind of action to its handler.
         self.on = self.actions.by_kind()
-        # Set when the balancer asks for the endpoint list again; a new one each time.
+        # Set when the balancer requests the endpoint list, and then replaced by a new event.
         self.subscribe = trio.Event()
 
         self.further = RetryBudget(settings.rules)
         self.slow_start = SlowStart(settings.rules, self.mean_work_us)
         self.violations = Violations(log.error)
         self.counts = new_counters()
-        # Reasons that the balancer gave for rejections and failures: how many of each.
+        # Number of rejections and failures by the reason that the balancer gave.
         self.reasons = {}
-        # CPU clock in seconds, and the CPU seconds of the balancer alone where it is given.
+        # CPU clock in seconds, if any, and the CPU time spent in the balancer as measured by it.
         self.clock = None
         self.busy_s = 0.0
-        # Of what is done with each query; off unless set.
+        # Trace of what happens to each query; off unless set.
         self.trace = Trace()
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         """Run the event loop until cancelled."""
         await self.dispatcher.run(task_status)
 
-    # ---- what frontends call ----
+    # ---- called by frontends ----
 
     def submit(
         self,
@@ -103,10 +103,10 @@
         on_final: Callable[[Outcome], None],
         has_left: Callable[[], bool] | None = None,
     ) -> Query:
-        """Take a request; `on_final(outcome)` is called once, in the turn that decides it.
+        """Accept a request; `on_final(outcome)` is called once, in the turn that decides it.
 
-        `has_left()` looks whether the client has disconnected, where that may lie unread. Raise
-        OverloadedError if too much is open.
+        `has_left()` checks whether the client has disconnected when that may not have been read
+        yet. Raise OverloadedError if too many queries or parts are open.
         """
         if self.table.is_full:
             self.counts["full"] += 1
@@ -122,7 +122,7 @@
         return query
 
     def _post_arrivals(self, query):
-        """Post that a query arrived, then each of its parts as it is opened."""
+        """Post the arrival of a query, then open each of its parts and post its arrival."""
         request = query.request
         self.post(
             QueryArrived(
@@ -143,20 +143,20 @@
     async def execute(self, request: Request) -> Outcome:
         """Return the final answer to a request.
 
-        Raise OverloadedError if it cannot be taken. Cancelling the caller tells the balancer that
-        the client disconnected.
+        Raise OverloadedError if it cannot be accepted. If the caller is cancelled, the balancer is
+        told that the client disconnected.
         """
         if self.holding is not None and not self.holding.admit(request.worth):
             self.counts["no_room"] += 1
             raise OverloadedError(
-                "rows of other queries fill memory or disk", self.holding.retry_after_us
+                "memory or disk is full with the rows of other queries", self.holding.retry_after_us
             )
         done = trio.Event()
         query = self.submit(request, lambda outcome: done.set())
         try:
             await done.wait()
         except BaseException:
-            # Answered perhaps, and nobody is there any more to read it.
+            # The query may have been answered, but its answer will not be read.
             if query.room is not None:
                 query.room.close()
             raise
@@ -165,53 +165,53 @@
         return query.outcome
 
     def shorten_deadline(self, query: Query, at_us: int):
-        """End a query by then, as others wait for its answer."""
+        """End a query by `at_us` at the latest, because other requests wait for its answer."""
         if query.outcome is None and at_us < query.request.deadline_us:
             self.deadlines.add(at_us, self.table.next_number(), query)
             self.dispatcher.wake()
 
     def client_disconnected(self, query: Query):
-        """Close a query whose client disconnected, if it is open; nobody is told its outcome."""
+        """Close a query whose client disconnected, if it is open, without reporting an outcome."""
         if query.outcome is None:
             self.counts["gone"] += 1
             query.on_final = lambda outcome: None
             self.close_undecided(query, Outcome(FinalStatus.FAILED))
 
     def unanswered(self) -> tuple[int, int, list[str]]:
-        """Return how many queries were taken, how many final answers given, and ids of open ones.
+        """Return the numbers of accepted queries and of final answers, and ids of open queries.
 
-        A root that ends with the first two unlike owes somebody an answer.
+        If the two numbers differ when a root stops, a query was left unanswered.
         """
         open_ids = list(itertools.islice(self.queries, MOST_NAMED))
         return self.counts["queries"], final_answers(self.counts), open_ids
 
-    # ---- what leaf connections and discovery call ----
+    # ---- called by leaf connections and discovery ----
 
     def post(self, event: object):
-        """Give the balancer an event in its next turn."""
+        """Queue an event for the balancer's next turn."""
         self.dispatcher.post(event)
 
     def on_watch_event(self, event: WatchEvent):
-        """Take a change of the endpoint list."""
+        """Process a change of the endpoint list."""
         self.slow_start.listed(event.entries)
         self.post(event)
 
     def query_error(self, query: Query, error: object):
-        """Give the query's own error as its final answer; the first one counts."""
+        """Answer a query with an error that it caused itself, unless it has its final answer."""
         if query.outcome is None:
             self.counts["faults"] += 1
             self.close_undecided(query, Outcome(FinalStatus.ANSWERED, error=error))
 
     def room(self, query: Query) -> object:
-        """Return what the rows of a query are held in, made with its first row."""
+        """Return the storage for a query's rows, created on the first call."""
         if query.room is None:
             query.room = self.holding.room(query.id, query.request.worth)
         return query.room
 
-    # ---- what the core's own parts call ----
+    # ---- called by the other modules of this package ----
 
     def close(self, query: Query, outcome: Outcome):
-        """Give an open query its one final answer."""
+        """Give an open query its final answer."""
         self.violations.check(query.outcome is None, Invariant.ANSWERED_TWICE, query=query.id)
         late_s = trio.current_time() - query.request.deadline_us / 1e6
         self.violations.check(
@@ -227,17 +227,17 @@
         query.on_final(outcome)
 
     def close_undecided(self, query: Query, outcome: Outcome):
-        """Close a query on which the balancer has not decided, and tell the balancer."""
+        """Close a query without a decision of the balancer, and tell the balancer."""
         self.close(query, outcome)
         self.post(ClientDisconnected(query.id))
 
     def request_endpoints(self):
-        """Wake whoever waits on `subscribe`."""
+        """Wake the tasks that wait on `subscribe`."""
         self.subscribe.set()
         self.subscribe = trio.Event()
 
     def mean_work_us(self) -> float:
-        """Return the mean work of a part, with its share of a call, as the balancer believes."""
+        """Return the balancer's estimate of the mean work of a part, including that of its call."""
         known = self.balancer.work_estimates.by_class.values()
         usual_us = self.balancer.latency_objective_us / 10
         work_us = sum(known) / len(known) if known else usual_us
--- a/mothnotch/root/counters.py
+++ b/mothnotch/root/counters.py
@@ -1,24 +1,24 @@
-"""The counters of a root's requests, and which of them count a final answer."""
+"""The counters of a root's requests, and the subset that counts final answers."""
 
-# Every counter, in the order in which they are logged.
+# All counters, in the order in which they are logged.
 COUNTERS = (
-    "queries",  # taken
-    "answered",  # completely or in part
+    "queries",  # accepted
+    "answered",  # completely or partially
     "refused",  # rejected by the balancer
-    "failed",  # by the balancer's decision
+    "failed",  # by a decision of the balancer
     "gone",  # the client disconnected before the final answer
     "sends",  # attempts
-    "turns",  # of the event loop
-    "in_part",  # partial answers, which are among the answered
-    "faults",  # queries that were at fault themselves
-    "overdue",  # ended by the guard at the client's deadline
-    "hurried",  # ended by the guard at a deadline that was shortened
-    "no_room",  # not taken, as rows of other queries fill memory or disk
-    "full",  # not taken, as too much is open
-    "broken",  # ended as an error in the balancer met them
+    "turns",  # turns of the event loop
+    "in_part",  # partial answers; also counted in "answered"
+    "faults",  # ended by an error that the query itself caused
+    "overdue",  # ended by the deadline guard at the client's deadline
+    "hurried",  # ended by the deadline guard at a shortened deadline
+    "no_room",  # not accepted: rows of other queries fill memory or disk
+    "full",  # not accepted: too many queries or parts are open
+    "broken",  # ended because of an unexpected error in the balancer
 )
 
-# Each query that was taken ends in exactly one of these.
+# Each accepted query is counted in exactly one of these.
 FINAL_ANSWERS = (
     "answered",
     "refused",
@@ -32,10 +32,10 @@
 
 
 def new_counters() -> dict[str, int]:
-    """Return all counters at 0."""
+    """Return all counters, set to 0."""
     return dict.fromkeys(COUNTERS, 0)
 
 
 def final_answers(counts: dict[str, int]) -> int:
-    """Return how many queries have had their final answer."""
+    """Return the number of queries that have had their final answer."""
     return sum(counts[name] for name in FINAL_ANSWERS)
--- a/mothnotch/root/deadlines.py
+++ b/mothnotch/root/deadlines.py
@@ -1,7 +1,7 @@
-"""The deadlines of open queries, and the guard that ends the queries that are overdue.
+"""The deadlines of open queries, and the guard that ends overdue queries.
 
-The balancer ends every query before its client's deadline; should it ever not, the client still
-gets a final answer.
+The balancer normally ends every query before its client's deadline. The guard ensures that the
+client gets a final answer even if the balancer does not.
 """
 
 import heapq
@@ -14,14 +14,14 @@
 class DeadlineGuard:
     """A heap of deadlines.
 
-    Bounds: one entry for each query taken, and one for each time a deadline is shortened. An entry
-    of a closed query goes once it is first, at its deadline at the latest.
+    Bounds: one entry for each accepted query, and one for each time a deadline is shortened. An
+    entry of a closed query is removed when it becomes the first, at its deadline at the latest.
     """
 
     def __init__(self, core):
-        """Make a guard that watches over nothing yet."""
+        """Create a guard without entries."""
         self._core = core
-        # (deadline in microseconds, number that no other entry has, query)
+        # (deadline in microseconds, unique number, query)
         self._heap = []
 
     def __len__(self) -> int:
@@ -29,7 +29,7 @@
         return len(self._heap)
 
     def add(self, at_us: int, number: int, query: Query):
-        """End the query at this time if it is still open then; `number` breaks ties."""
+        """End the query at `at_us` if it is still open then; the unique `number` breaks ties."""
         heapq.heappush(self._heap, (at_us, number, query))
 
     def next_us(self) -> float:
@@ -53,7 +53,7 @@
         else:
             core.counts["overdue"] += 1
             core.log.error(
-                "no final answer in the client's time",
+                "query had no final answer by its client's deadline",
                 query=query.id,
                 class_name=query.request.class_name,
             )
--- a/mothnotch/root/dispatcher.py
+++ b/mothnotch/root/dispatcher.py
@@ -1,7 +1,7 @@
-"""The event loop: it alone calls the balancer, once a turn, and has its actions carried out.
+"""The event loop, the only caller of the balancer, and the dispatch of the balancer's actions.
 
-A turn takes the events that were posted, gives them to `Balancer.handle`, carries out each action
-in its order, releases the queries that were closed, and sends the attempts by server.
+A turn passes the posted events to `Balancer.handle`, carries out the resulting actions in order,
+releases the queries that were closed, and sends the attempts, grouped by server.
 """
 
 import heapq
@@ -14,7 +14,7 @@
 from mothnotch.root.clock import now_us
 from mothnotch.root.request_table import Query
 
-# So late are timers rather than early: one that fires before its time is lost on the balancer.
+# Delays each timer slightly: the balancer ignores a timer that fires before its time.
 TIMER_SLACK_US = 2
 
 
@@ -22,31 +22,31 @@
     """The posted events, the timers, and the loop over both.
 
     Bounds: events are bounded by the open requests and their attempts, as each attempt ends once;
-    timers by what the balancer asks for, one a turn.
+    timers are bounded by the balancer, which sets at most one in each turn.
     """
 
     def __init__(self, core):
-        """Make a dispatcher; the balancer, the handlers of actions and the log are the core's."""
+        """Create a dispatcher that uses the core's balancer, action handlers and log."""
         self._core = core
-        # Posted, and not yet given to the balancer.
+        # Posted events that have not been passed to the balancer yet.
         self.events = []
-        # The time of the turn, for whoever carries out its actions.
+        # The time of the current turn, also used by the action handlers.
         self.now_us = 0
         self._woken = trio.Event()
         # Heap of times in microseconds.
         self._timers = []
 
     def post(self, event: object):
-        """Give the balancer an event in the next turn."""
+        """Queue an event for the balancer's next turn."""
         self.events.append(event)
         self._woken.set()
 
     def wake(self):
-        """Have the loop look again at when it must go on."""
+        """Wake the loop, so that it determines its next deadline again."""
         self._woken.set()
 
     def set_timer(self, delay_us: float):
-        """Post TimerFired so long after this turn's time."""
+        """Post TimerFired `delay_us` after the time of this turn."""
         heapq.heappush(self._timers, self.now_us + delay_us)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
@@ -64,7 +64,7 @@
             self._core.deadlines.end_overdue()
 
     def _next_us(self):
-        """Return when the loop has to go on if nothing is posted before."""
+        """Return when the next turn is due if no event is posted before."""
         deadline_us = self._core.deadlines.next_us()
         return min(self._timers[0] if self._timers else math.inf, deadline_us)
 
@@ -94,7 +94,7 @@
         sends.clear()
 
     def _decide(self, events):
-        """Return the balancer's actions, and the queries that an error in it met."""
+        """Return the balancer's actions, and the queries that an error in it affected."""
         core = self._core
         began_s = core.clock() if core.clock else 0
         remaining = iter(events)
@@ -102,8 +102,8 @@
         try:
             actions = core.balancer.handle(self.now_us, remaining)
         except Exception as error:
-            # A defect must cost the query that met it, not all that this root has taken.
-            core.log.error("unexpected error in the module", error=repr(error), exc_info=True)
+            # A defect must fail the query that triggered it, not every open query of this root.
+            core.log.error("unexpected error in the balancer", error=repr(error), exc_info=True)
             actions = core.balancer.actions
             failed = self._queries_met(events, list(remaining))
         if core.clock:
@@ -111,9 +111,10 @@
         return actions, failed
 
     def _contain_errors(self, step, *args):
-        """Carry out a step of a turn; log an error in it, and go on with the turn.
+        """Run one step of a turn; log an error in it, and continue the turn.
 
-        A defect costs what it met alone: attempts have their time-outs, and queries their guard.
+        A defect then affects this step only: its attempts end by their timeouts, and its queries by
+        the deadline guard.
         """
         try:
             step(*args)
@@ -121,14 +122,14 @@
             self._core.log.error("unexpected error in a turn", error=repr(error), exc_info=True)
 
     def _queries_met(self, events, remaining) -> list[Query]:
-        """Return the queries that an error in the balancer met; leave it the other events.
+        """Return the queries affected by an error in the balancer; queue the remaining events.
 
-        They are the query of the event at which it stopped, and those that arrived in this turn, as
-        none of them was begun. `remaining`: the events that it had not come to.
+        These are the query of the event that failed, and the queries that arrived in this turn, as
+        the balancer has started none of them. `remaining`: the events that it did not reach.
         """
         core = self._core
         self.events = remaining + self.events
-        # The balancer asked for no timer in this turn.
+        # The balancer failed before it could set its timer for the next turn.
         self.set_timer(core.settings.tick_us)
         handled = events[: len(events) - len(remaining)]
         found = {}
--- a/mothnotch/root/endpoint_file.py
+++ b/mothnotch/root/endpoint_file.py
@@ -1,7 +1,7 @@
-"""Follows an endpoint list that is a text: a file on disk, or one held in memory.
+"""Watch an endpoint list that is stored as text, in a file or in memory.
 
-What the text means is decided in mothnotch/decisions/endpoint_list.py; here it is polled, and the
-core and the leaf pools are notified.
+This module polls the text and notifies the core and the leaf pools of changes. The rules for
+accepting a list are in mothnotch/decisions/endpoint_list.py.
 """
 
 import os
@@ -14,30 +14,30 @@
 from mothnotch.decisions.start_times import StartTimes
 from mothnotch.root.clock import now_us
 
-# Pause between two polls of the file. A change is noticed so much later at the most; a poll that
-# finds none costs one stat.
+# Interval between two polls of the file: the longest delay until a change is noticed. A poll that
+# finds no change costs one stat.
 POLL_S = 0.1
-# The largest file read: a wrong path must not fill the root's memory.
+# Size limit of the file: a path set by mistake must not fill the root's memory.
 MOST_FILE_BYTES = 8 << 20
 
 
 class EndpointSource(Protocol):
-    """Where the text of an endpoint list comes from."""
+    """A source of the text of an endpoint list."""
 
     def read_changed(self) -> str | None:
-        """Return the text if it is not the one returned last, else None; raise OSError."""
+        """Return the text if it has changed since the last call, else None; raise OSError."""
 
 
 class EndpointFile:
-    """An endpoint list in a file."""
+    """An endpoint list that is read from a file."""
 
     def __init__(self, path: str | os.PathLike):
-        """Follow the file of this path; it need not be there yet."""
+        """Read the file at this path, which need not exist yet."""
         self.path = path
         self._last_mark = None
 
     def read_changed(self) -> str | None:
-        """Return the file's text if the file is not the one read last, else None.
+        """Return the file's text if the file has changed since it was last read, else None.
 
         Raise OSError if it cannot be read or is larger than MOST_FILE_BYTES.
         """
@@ -46,9 +46,7 @@
         if mark == self._last_mark:
             return None
         if stat.st_size > MOST_FILE_BYTES:
-            raise OSError(
-                f"{self.path} holds {stat.st_size} bytes; {MOST_FILE_BYTES} at most are read"
-            )
+            raise OSError(f"{self.path} has {stat.st_size} bytes; the limit is {MOST_FILE_BYTES}")
         with open(self.path, encoding="utf-8", errors="replace") as file:
             text = file.read()
         self._last_mark = mark
@@ -56,10 +54,10 @@
 
 
 class InMemoryEndpointFile:
-    """An endpoint list that a test or an emulated run sets, by its attribute `text`."""
+    """An endpoint list that a test or a simulated run sets through its attribute `text`."""
 
     def __init__(self, text: str | None = None):
-        """Hold a first text; None: there is none yet."""
+        """Start with this text; None if there is none yet."""
         self.text = text
 
     def read_changed(self) -> str | None:
@@ -70,25 +68,26 @@
 
 
 class EndpointFileWatch:
-    """Notifies the core and the leaf pools of what the endpoint list says.
+    """Notify the core and the leaf pools of changes of the endpoint list.
 
-    A list that is wrong as a whole is not acted on: the previous one is kept, and that is logged.
+    A list that is unreadable, invalid, or without any leaf left is logged and ignored: the previous
+    list stays in force.
     """
 
     def __init__(self, source: EndpointSource, cells: int, core, leaves, network, log):
-        """Watch a source for a core and its pools; shards are held by so many cells."""
+        """Watch a source for a core and its leaf pools; `cells` is the number of cells."""
         self.source = source
         self.cells = cells
         self.core = core
         self.leaves = leaves
         self.log = log
-        # How many lists were taken.
+        # Number of lists applied so far.
         self.version = 0
         self._entries = []
         self._starts = StartTimes(now_us(), network.wall())
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
-        """Run until cancelled; started once the list was polled."""
+        """Run until cancelled; report the task as started after the first poll."""
         self.poll()
         task_status.started()
         while True:
@@ -96,7 +95,7 @@
             self.poll()
 
     def poll(self) -> bool:
-        """Read the list once; return whether a new one was taken."""
+        """Poll the list once; return whether a new one was applied."""
         entries = self._read_changed()
         if entries is None:
             return False
@@ -106,29 +105,29 @@
         return True
 
     def _read_changed(self):
-        """Return the list if it has changed and is right, else None."""
+        """Return the list if it has changed and is valid, else None."""
         try:
             text = self.source.read_changed()
         except OSError as error:
-            self.log.error("roster cannot be read; the last one stays", error=str(error))
+            self.log.error("roster cannot be read; keeping the previous one", error=str(error))
             return None
         if text is None:
             return None
         try:
             entries = load_roster(text, self.cells)
         except ConfigError as error:
-            self.log.error("roster is wrong; the last one stays", errors=error.errors)
+            self.log.error("roster is invalid; keeping the previous one", errors=error.errors)
             return None
         if endpoint_list.removes_whole_fleet(self._entries, entries):
             self.log.error(
-                "roster names nobody any more; the last one stays", leaves=len(self._entries)
+                "roster has no leaves left; keeping the previous one", leaves=len(self._entries)
             )
             return None
         return entries
 
     def _notify(self, entries):
-        # A removed leaf keeps its pool until its calls have ended; a name without an address gets
-        # no new ones.
+        # A removed leaf keeps its pool until its calls have ended. A leaf without an address gets
+        # no new calls.
         self.leaves.follow(
             {leaf.name: leaf.address for leaf in entries if leaf.state != "removed"},
             {leaf.name for leaf in entries if leaf.state != "up"},
--- a/mothnotch/root/request.py
+++ b/mothnotch/root/request.py
@@ -1,4 +1,4 @@
-"""What a frontend hands to the core, and the outcome it gets back; no frontend's protocol shows."""
+"""Requests from a frontend to the core, and their outcomes, independent of any protocol."""
 
 from dataclasses import dataclass, field
 
@@ -9,13 +9,13 @@
 class PartSpec:
     """One shard's share of a request.
 
-    `payload` is for the leaf's driver alone; the core never looks into it.
+    `payload` is used by the leaf's driver only; the core passes it on unread.
     """
 
     shard: int
-    # Share of the whole request; the weights of all parts add up to 1.
+    # Share of the whole request; the weights of all parts sum to 1.
     weight: float
-    # Rough work in microseconds; None where it is not known.
+    # Estimated work in microseconds; None if unknown.
     cost_us: int | None
     payload: object
 
@@ -25,7 +25,7 @@
     """One query of a client.
 
     `key`: requests with the same key go to the same home leaves. `deadline_us`: the client's
-    deadline on the root's own clock.
+    deadline on the root's clock.
     """
 
     class_name: str
@@ -33,41 +33,41 @@
     key: str | None
     deadline_us: int
     parts: tuple[PartSpec, ...]
-    # The client says that it asked the same before.
+    # The client states that this is a retry.
     repeated: bool = False
-    # Priority weight for its work, against the usual: how much of the memory it may hold.
+    # Priority weight relative to the usual one: determines how much memory its rows may use.
     worth: float = 1.0
-    # The frontend's error that it ends with where neither memory nor disk has room for its rows.
+    # The frontend's error to answer with if neither memory nor disk has space for its rows.
     overflow: object = None
 
     @property
     def cost_us(self) -> int | None:
-        """Return the rough work of all parts in microseconds; None unless known of each part."""
+        """The estimated work of all parts in microseconds; None unless known for every part."""
         known = [part.cost_us for part in self.parts if part.cost_us]
         return sum(known) if len(known) == len(self.parts) else None
 
 
 @dataclass(slots=True)
 class Outcome:
-    """The one final answer to a request.
+    """The final answer to a request.
 
-    ANSWERED has either `rows` by part number, or `error`: the query's own fault.
+    ANSWERED has either `rows` by part number, or `error`, which the query itself caused.
     """
 
     final: FinalStatus
     complete: bool = False
-    # REJECTED: microseconds after which the client may ask again; 0: no advice.
+    # REJECTED: microseconds after which the client may retry; 0: no advice.
     retry_after_us: int = 0
-    # Part number -> what the leaf's driver collected.
+    # Part number -> the rows as collected by the leaf's driver.
     rows: dict[int, object] = field(default_factory=dict)
     error: object = None
-    # FAILED: whether an effect may have taken place.
+    # FAILED: whether the query may have taken effect.
     may_have_run: bool = True
-    # Microseconds that each part's answer took, in the order of the parts.
+    # Latency of each answered part in microseconds, in the order of the parts.
     latencies_us: list[int] = field(default_factory=list)
-    # Part number -> why it is missing, as decisions/coverage.py words it.
+    # Part number -> why it is missing, in the wording of decisions/coverage.py.
     missing_reasons: dict[int, str] = field(default_factory=dict)
-    # Part number -> (leaf, microseconds from the leaf's answer to this one).
+    # Part number -> (leaf, microseconds between the leaf's answer and this outcome).
     sources: dict[int, tuple[str, int]] = field(default_factory=dict)
-    # ANSWERED: what holds the rows; whoever reads them closes it.
+    # ANSWERED: the storage of the rows; the reader of the rows closes it.
     room: object = None
--- a/mothnotch/root/request_table.py
+++ b/mothnotch/root/request_table.py
@@ -1,4 +1,4 @@
-"""The table of open requests: a record of each query and each part, and the bounds on both."""
+"""The table of open queries and parts, and the limits on their numbers."""
 
 import itertools
 from collections.abc import Callable
@@ -10,10 +10,10 @@
 
 
 class OverloadedError(Exception):
-    """The root takes no more at present; nothing was taken."""
+    """The root is overloaded; the request was not accepted."""
 
     def __init__(self, reason: str, retry_after_us: int = 0):
-        """Say why, and after how many microseconds to ask again; 0: no advice."""
+        """Store the reason, and the delay before a retry in microseconds; 0: no advice."""
         super().__init__(reason, retry_after_us)
         self.reason = reason
         self.retry_after_us = retry_after_us
@@ -21,64 +21,64 @@
 
 @dataclass(slots=True, eq=False)
 class Part:
-    """One part of a query, and what is known of its attempts."""
+    """One part of a query, and the state of its attempts."""
 
     id: str
     spec: PartSpec
     query: "Query"
-    # How many attempts were made; the next one's number.
+    # Number of attempts so far, which is also the number of the next one.
     sends: int = 0
-    # Attempts that have not ended, by number.
+    # Attempts in flight, by number.
     in_flight: dict[int, object] = field(default_factory=dict)
-    # When the attempts that may have run were sent, by number.
+    # Send times of the attempts that may have run, by number.
     sent_us_by_attempt: dict[int, int] = field(default_factory=dict)
-    # What its answer holds; None until it is answered.
+    # The rows of its answer; None until it is answered.
     rows: object = None
-    # Of the attempt that brought the answer: how long it took, which leaf, and when.
+    # The answer's latency, the leaf that gave it, and when it was received.
     latency_us: int = 0
     server: str = ""
     answered_us: int = 0
-    # How its last attempt without an answer ended.
+    # Result of the last attempt that ended without an answer.
     last_failure: Result | None = None
-    # At least the first byte of an attempt has left the root.
+    # Whether sending of any of its attempts has begun.
     has_begun_sending: bool = False
-    # A COMMIT of it was sent: it may have taken effect.
+    # Whether a COMMIT was sent for it, so that it may have taken effect.
     committing: bool = False
 
 
 @dataclass(slots=True, eq=False)
 class Query:
-    """One query that was taken, until the balancer knows that it is over."""
+    """One accepted query, kept until the balancer knows that it has ended."""
 
     id: str
     number: int
     request: Request
-    # Called once with the outcome, in the turn that decided it.
+    # Called once with the outcome, in the turn that decides it.
     on_final: Callable[[Outcome], None]
-    # Looks whether the client has disconnected, where that may lie unread.
+    # Checks whether the client has disconnected when that may not have been read yet.
     has_left: Callable[[], bool] = lambda: False
     parts: list[Part] = field(default_factory=list)
     outcome: Outcome | None = None
-    # What its rows are held in, once one has come.
+    # The storage of its rows; None before the first row.
     room: object = None
-    # The balancer knows that it is over: no new attempt can come for it.
+    # Whether the balancer knows that the query has ended, so that it sends no new attempts.
     released: bool = False
 
     def undecided_outcome(self) -> Outcome:
-        """Return the final answer where the balancer gave none: rejected if nothing was sent."""
+        """Return the final answer if the balancer decided none: rejected if nothing was sent."""
         ran = any(part.sends for part in self.parts)
         return Outcome(FinalStatus.FAILED if ran else FinalStatus.REJECTED, may_have_run=ran)
 
 
 class RequestTable:
-    """The open queries and parts by id, and the queries that were closed in this turn.
+    """The open queries and parts by id, and the queries closed in the current turn.
 
-    Bounds: `most_queries` queries, and `most_open` queries and parts together. A part stays beyond
-    its query for as long as an attempt of it is in flight; it counts until then.
+    Bounds: `most_queries` queries, and `most_open` queries and parts together. A part outlives its
+    query while an attempt of it is in flight, and counts towards the bound until then.
     """
 
     def __init__(self, most_queries: int, most_open: float):
-        """Make an empty table with these bounds."""
+        """Create an empty table with these bounds."""
         self.queries = {}
         self.parts = {}
         self._most_queries = most_queries
@@ -87,12 +87,12 @@
         self._closed = []
 
     def next_number(self) -> int:
-        """Return the next number of a query or of a deadline; none is given twice."""
+        """Return a new unique number for a query or a deadline."""
         return next(self._numbers)
 
     @property
     def is_full(self) -> bool:
-        """Whether one more query would exceed the bounds."""
+        """Whether the table accepts no more queries."""
         return (
             len(self.queries) >= self._most_queries
             or len(self.queries) + len(self.parts) >= self._most_open
@@ -104,7 +104,7 @@
         on_final: Callable[[Outcome], None],
         has_left: Callable[[], bool] | None = None,
     ) -> Query:
-        """Open a query, without its parts."""
+        """Add an open query, without its parts."""
         number = self.next_number()
         query = Query(f"q{number}", number, request, on_final)
         if has_left is not None:
@@ -113,33 +113,33 @@
         return query
 
     def add_part(self, query: Query, number: int, spec: PartSpec) -> Part:
-        """Open a part of a query."""
+        """Add an open part of a query."""
         part = Part(f"{query.id}.{number}", spec, query)
         query.parts.append(part)
         self.parts[part.id] = part
         return part
 
     def close(self, query: Query):
-        """Take a query out; its parts stay until `release_closed`."""
+        """Remove a query; its parts remain until `release_closed`."""
         del self.queries[query.id]
         self._closed.append(query)
 
     def release_closed(self):
-        """Let go of the parts of closed queries, but for those with attempts in flight."""
+        """Remove the parts of closed queries, except those with attempts in flight."""
         for query in self._closed:
             query.released = True
             for part in query.parts:
                 if not part.in_flight:
                     del self.parts[part.id]
-            # Parts refer to their query: without this each query were a cycle, and the pauses of
-            # the garbage collector the root's.
+            # Parts refer to their query. Breaking this reference cycle frees the query at once;
+            # otherwise the pauses of the garbage collector would stall the root.
             query.parts = ()
         self._closed = []
 
     def end_attempt(self, part: Part, number: int):
-        """Take an ended attempt out of its part.
+        """Remove an ended attempt from its part.
 
-        The part goes too if its query was released and no other attempt of it is in flight.
+        Remove the part too if its query was released and no other attempt of it is in flight.
         """
         del part.in_flight[number]
         if part.query.released and not part.in_flight:
--- a/mothnotch/root/trace.py
+++ b/mothnotch/root/trace.py
@@ -1,9 +1,9 @@
-"""A record of what a root does with each request, attempt and connection, to find causes by.
+"""A trace of what a root does with each request, attempt and connection, for troubleshooting.
 
-Off unless the variable MOTHNOTCH_TRACE names a file; then each event is one JSON line with the
-monotonic time, its kind and the ids it concerns: request id, query, wire id of a part, leaf, number
-of the connection, and the reason of each close, retry, rejection and end. A line that cannot be
-written now ends the record, and no query.
+Tracing is off unless the environment variable MOTHNOTCH_TRACE names a file. Each event is then one
+JSON line with the monotonic time, the kind, and the ids that it concerns: request id, query, wire
+id of a part, leaf, connection number, and the reason of each close, retry, rejection and end. A
+line that cannot be written at once ends the trace; queries are not affected.
 """
 
 import contextlib
@@ -14,15 +14,15 @@
 
 from mothnotch.net.line_output import LineOutput
 
-# The environment variable that names the file.
+# The environment variable with the path of the trace file.
 PATH_VARIABLE = "MOTHNOTCH_TRACE"
 
 
 class Trace:
-    """Writes the record, if it is on."""
+    """Writes the trace, if it is enabled."""
 
     def __init__(self, path: str | None = None):
-        """Append to the file of this path; off without one, or if it cannot be opened."""
+        """Append to the file at this path; stay off without a path or if it cannot be opened."""
         self._output = None
         if path:
             with contextlib.suppress(OSError):
@@ -31,12 +31,12 @@
 
     @classmethod
     def from_environment(cls) -> "Trace":
-        """Return a trace to the file that the environment names, off if it names none."""
+        """Return a trace to the file named by the environment, off if none is named."""
         return cls(os.environ.get(PATH_VARIABLE))
 
     @property
     def on(self) -> bool:
-        """Whether events are recorded; asked before the fields of an event are gathered."""
+        """Whether events are recorded; callers check it before they collect an event's fields."""
         return self._output is not None
 
     def note(self, kind: str, **fields):
--- a/mothnotch/simulator_adapter.py
+++ b/mothnotch/simulator_adapter.py
@@ -1,8 +1,8 @@
-"""The adapter between the simulator's wire and the decisions: each instance has a Balancer.
+"""The adapter between the simulator's protocol and the balancers, one for each simulated root.
 
-It translates and decides nothing. `python -m mothnotch.simulator_adapter` reads batches on standard
-input and writes one reply a batch; a line that is not the wire's ends it with one message and exit
-code 2. Bounds: none of its own; the simulator says how many instances and lists there are.
+It only translates; all decisions are the balancer's. `python -m mothnotch.simulator_adapter` reads
+batches from standard input and writes one reply for each. An invalid line ends it with one message
+and exit code 2. Bounds: none of its own; the simulator sets the number of instances and lists.
 """
 
 import json
@@ -26,33 +26,33 @@
     read_line,
 )
 
-# The simulator's turn ends with this line, the adapter's with the one below.
+# The lines that end a batch of the simulator and a reply of the adapter.
 END_OF_BATCH = "OVER_TO_YOU"
 END_OF_REPLY = "DONE"
-# What a line that is not the wire's makes of reading it.
+# The errors that reading an invalid line can raise.
 READ_ERRORS = (WireError, KeyError, ValueError, IndexError, TypeError)
 
 
 @dataclass(slots=True, frozen=True)
 class Batch:
-    """The events of one turn by instance, in the order in which they first appear."""
+    """The events of one turn by instance; instances are in order of their first event."""
 
     now_us: int
     events: dict[int, list[Event]]
 
 
 class Adapter:
-    """The instances of one process; they share nothing but the tables of endpoints."""
+    """The instances of one process, which share only the endpoint tables."""
 
     def __init__(self):
-        """Begin without instances."""
+        """Start without instances."""
         self.instances: dict[int, Balancer] = {}
         self._tables: dict[int, tuple[Endpoint, ...]] = {}
 
     def read(self, lines: list[str]) -> Batch:
-        """Return a batch, given without its closing line; instances start and stop as it says.
+        """Parse the lines of a batch, except its end line; start and stop instances as it says.
 
-        Raise one of READ_ERRORS at a line that is not the wire's.
+        Raise one of READ_ERRORS if a line is invalid.
         """
         name, fields = read_line(lines[0])
         if name != "MARK":
@@ -66,7 +66,7 @@
             if name == "DIRECTORY":
                 count = int(fields["membersList"])
                 if count > remaining:
-                    raise WireError(f"list of {count} entries is cut short")
+                    raise WireError(f"list of {count} entries is incomplete")
                 self._tables[int(fields["table"])] = tuple(
                     read_endpoint(entry) for entry in islice(rest, count)
                 )
@@ -76,7 +76,7 @@
         return batch
 
     def reply(self, batch: Batch) -> list[str]:
-        """Return the actions of the instances that have events, as lines."""
+        """Pass the events to their instances; return the resulting actions as lines."""
         return [
             action_line(root, action)
             for root, events in batch.events.items()
@@ -111,7 +111,7 @@
 
 
 def main(source: TextIO | None = None, sink: TextIO | None = None) -> int:
-    """Serve batches until the input ends; return the exit code."""
+    """Process batches until the input ends; return the exit code."""
     source = source or sys.stdin
     sink = sink or sys.stdout
     adapter = Adapter()
@@ -126,7 +126,7 @@
             batch = adapter.read(lines)
         except READ_ERRORS as error:
             print(
-                f"mothnotch: cannot follow the wire: {type(error).__name__}: {error}",
+                f"mothnotch: invalid input: {type(error).__name__}: {error}",
                 file=sys.stderr,
             )
             return 2
@@ -134,7 +134,7 @@
         sink.flush()
         lines = []
     if lines:
-        print("mothnotch: input ended inside a batch", file=sys.stderr)
+        print("mothnotch: input ended in the middle of a batch", file=sys.stderr)
         return 2
     return 0
 
--- a/mothnotch/simulator_wire.py
+++ b/mothnotch/simulator_wire.py
@@ -1,7 +1,7 @@
-"""The simulator's wire: reads its lines as events of the decisions, writes actions as its lines.
+"""The simulator's line protocol: parse lines into events, and format actions as lines.
 
-A line is a name and `name=value` fields between single spaces; `options` and `msg` run to the end
-of the line. Fields that are not known here are skipped.
+A line is a name followed by `name=value` fields, separated by single spaces; the values of
+`options` and `msg` extend to the end of the line. Unknown fields are ignored.
 """
 
 from collections.abc import Callable
@@ -61,15 +61,15 @@
     "delta": WatchEventKind.DELTA,
     "failed": WatchEventKind.FAILED,
 }
-# Bits of `attrs`: the field sizeHintUs holds, the client says that it asked before.
+# Bits of `attrs`: sizeHintUs is valid; the client states that this is a retry.
 COST_VALID_BIT = 1
 RETRY_BIT = 2
-# Fields whose value is text to the end of the line.
+# Fields whose value extends to the end of the line.
 TEXT_FIELDS = ("options", "msg")
 
 
 class WireError(ValueError):
-    """A line that the wire does not allow."""
+    """A line that violates the protocol."""
 
 
 def read_line(line: str) -> tuple[str, Fields]:
@@ -80,7 +80,7 @@
         word, _, after = rest.partition(" ")
         key, equals, value = word.partition("=")
         if not equals:
-            raise WireError(f"not name=value: {word[:60]!r} in {name[:40]!r}")
+            raise WireError(f"expected name=value, got {word[:60]!r} in {name[:40]!r}")
         if key in TEXT_FIELDS:
             value = rest[len(key) + 1 :]
             after = ""
@@ -90,7 +90,7 @@
 
 
 def read_endpoint(line: str) -> Endpoint:
-    """Return one entry of a list; raise WireError, KeyError or ValueError if it is none."""
+    """Parse one entry of a list; raise WireError, KeyError or ValueError if it is invalid."""
     name, fields = read_line(line)
     if name != "ITEM":
         raise WireError(f"expected ITEM, got {name[:40]!r}")
@@ -105,7 +105,7 @@
 
 
 def _read_report(text):
-    """Return a server's load report by name, None if it sent none."""
+    """Return a server's load report as values by name; None if it sent none."""
     if not text:
         return None
     pairs = (pair.split(":") for pair in text.split(","))
@@ -113,7 +113,7 @@
 
 
 def _read_order(fields):
-    """Return the arrival of a query, or of one of its parts: these have a range."""
+    """Return the arrival of a query, or of one of its parts if the line has a range."""
     bits = int(fields.get("attrs", 0))
     cost_us = int(fields.get("sizeHintUs", 0))
     if not bits & COST_VALID_BIT or cost_us <= 0:
@@ -172,7 +172,7 @@
     "TIMER": lambda fields: TimerFired(int(fields["label"])),
     "WHISPER": _read_peer_message,
 }
-# Messages of streamed classes only: a part of a query is never streamed.
+# Messages that occur for streamed classes only; parts of queries are never streamed.
 SKIPPED_MESSAGES = ("UNDER_WAY",)
 
 _ACTION_WRITERS: dict[type, Callable[[int, Action], str]] = {
@@ -198,5 +198,5 @@
 
 
 def action_line(root: int, action: Action) -> str:
-    """Return an action of a root as a line."""
+    """Format an action of a root as a line."""
     return _ACTION_WRITERS[type(action)](root, action)
