--- a/mothnotch/decisions/connection_policy.py
+++ b/mothnotch/decisions/connection_policy.py
@@ -19,7 +19,7 @@
 # connections are opened and closed.
 MIN_IDLE_S = 0.05
 # A disconnect may be unread in the sockets if they were last polled longer ago than this.
-UNREAD_AFTER_S = 0.02
+MAX_UNPOLLED_S = 0.02
 # Maximum interval between checks of idle connections, so that none outlives its idle time by much.
 MAX_IDLE_CHECK_S = 0.5
 
@@ -35,22 +35,22 @@
 
     def __init__(self):
         """Start without a median: no connection is suspect before the first answer."""
-        self.usual_us: float | None = None
+        self.median_us: float | None = None
 
     def record_latency(self, latency_us: float) -> None:
         """Update the median with the latency of an answer."""
-        if self.usual_us is None:
-            self.usual_us = max(1.0, latency_us)
-        self.usual_us *= MEDIAN_STEP if latency_us > self.usual_us else 1 / MEDIAN_STEP
+        if self.median_us is None:
+            self.median_us = max(1.0, latency_us)
+        self.median_us *= MEDIAN_STEP if latency_us > self.median_us else 1 / MEDIAN_STEP
 
-    def is_silent(self, sent_us: int, heard_us: int, now_us: int) -> bool:
+    def is_silent(self, sent_us: int, last_read_us: int, now_us: int) -> bool:
         """Return whether a connection is suspect, when an attempt sent on it is abandoned.
 
         It is suspect if nothing was read from it since `sent_us` and that was long enough ago.
         """
-        if self.usual_us is None or heard_us >= sent_us:
+        if self.median_us is None or last_read_us >= sent_us:
             return False
-        return now_us - sent_us >= SILENCE_FACTOR * self.usual_us
+        return now_us - sent_us >= SILENCE_FACTOR * self.median_us
 
 
 def max_in_flight(streams: int) -> int:
@@ -65,9 +65,9 @@
     return max(1, streams - 1)
 
 
-def client_may_have_disconnected(unread_s: float) -> bool:
+def client_may_have_disconnected(unpolled_s: float) -> bool:
     """Return whether a disconnect may be unread, given the seconds since sockets were polled."""
-    return unread_s > UNREAD_AFTER_S
+    return unpolled_s > MAX_UNPOLLED_S
 
 
 def withheld_result(
@@ -75,20 +75,20 @@
     superseded: bool,
     past_retry_window: bool,
     remaining_s: float,
-    not_now: bool = False,
+    temporarily_blocked: bool = False,
 ) -> Result | None:
     """Return the result of a queued attempt that must not be sent; None if it may be sent.
 
     Called just before the attempt's first byte is sent. `takes_new`: its leaf is not draining, not
     removed and still at that address. `superseded`: the client disconnected, or another attempt
     answered the part. `past_retry_window`: it is too late for a retry. `remaining_s`: time until
-    the attempt's deadline. `not_now`: a disconnect of the client may be unread, or the retry budget
-    is exhausted at present.
+    the attempt's deadline. `temporarily_blocked`: a disconnect of the client may be unread, or the
+    retry budget is exhausted at present.
 
     Guards against work whose result nobody reads, duplicate side effects and an exceeded retry
     budget. A withheld attempt costs nothing, as it never ran.
     """
-    if not takes_new or superseded or past_retry_window or not_now:
+    if not takes_new or superseded or past_retry_window or temporarily_blocked:
         return Result.UNSENT
     if remaining_s <= 0:
         return Result.UNREACHABLE
@@ -96,19 +96,19 @@
 
 
 def must_close(
-    full: bool, cancellation_queued: bool, query_complete: bool, copies_allowed: bool
+    streams_exhausted: bool, cancellation_queued: bool, query_complete: bool, hedging_allowed: bool
 ) -> bool:
     """Return whether abandoning a sent attempt requires closing its connection.
 
-    It does if the leaf cannot read a cancellation because all its streams are busy (`full`). It
-    also does if the cancellation cannot be sent at once: another attempt, which only an incomplete
-    query makes, would overtake it and run beside the first. Cost: the other parts on that
-    connection may have run by then. Therefore it stays open if copies are allowed or the query is
-    complete. Within `max_in_flight` a full connection carries no other parts.
+    It does if all streams of the leaf are busy, so that it cannot read a cancellation. It also does
+    if the cancellation cannot be sent at once: another attempt, which only an incomplete query
+    makes, would overtake it and run beside the first. Cost: the other parts on that connection may
+    have run by then. Therefore it stays open if hedging is allowed or the query is complete. Within
+    `max_in_flight` a connection whose streams are exhausted carries no other parts.
     """
-    if full:
+    if streams_exhausted:
         return True
-    return cancellation_queued and not query_complete and not copies_allowed
+    return cancellation_queued and not query_complete and not hedging_allowed
 
 
 def idle_connection_to_close(
--- a/mothnotch/decisions/coverage.py
+++ b/mothnotch/decisions/coverage.py
@@ -28,7 +28,7 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Piece:
+class RangeCoverage:
     """Coverage of the range of shard column values that one part asks for."""
 
     low: int
@@ -37,30 +37,30 @@
     weight: float
     answered: bool
     # Why it is missing; empty if it is answered.
-    why: str = ""
+    missing_reason: str = ""
     leaf: str | None = None
     # Time from its answer to the query's answer; None if it has none.
-    read_us: int | None = None
+    read_age_us: int | None = None
 
 
 @dataclass(slots=True, frozen=True)
 class Coverage:
     """What one answer covers, by range."""
 
-    pieces: tuple[Piece, ...]
+    ranges: tuple[RangeCoverage, ...]
 
     @property
     def complete(self) -> bool:
         """Whether every range is answered."""
-        return all(piece.answered for piece in self.pieces)
+        return all(entry.answered for entry in self.ranges)
 
     @property
     def share(self) -> float:
         """The answered share of the weight: 1.0 only if every range is answered."""
         if self.complete:
             return 1.0
-        asked = math.fsum(piece.weight for piece in self.pieces)
-        answered = math.fsum(piece.weight for piece in self.pieces if piece.answered)
+        asked = math.fsum(entry.weight for entry in self.ranges)
+        answered = math.fsum(entry.weight for entry in self.ranges if entry.answered)
         return min(answered / asked, math.nextafter(1.0, 0.0))
 
     @property
@@ -69,25 +69,27 @@
         return math.floor(Fraction(self.share) * 100)
 
     @property
-    def missing(self) -> list[Piece]:
+    def missing(self) -> list[RangeCoverage]:
         """The ranges that are not answered."""
-        return [piece for piece in self.pieces if not piece.answered]
+        return [entry for entry in self.ranges if not entry.answered]
 
     @property
-    def oldest_us(self) -> int:
+    def oldest_read_age_us(self) -> int:
         """Time from the oldest range's answer to the query's answer; 0 if no range is answered."""
-        ages_us = [piece.read_us for piece in self.pieces if piece.read_us is not None]
+        ages_us = [entry.read_age_us for entry in self.ranges if entry.read_age_us is not None]
         return max(ages_us, default=0)
 
 
-def format_range(piece: Piece) -> str:
+def format_range(entry: RangeCoverage) -> str:
     """Return a range in the form that clients see."""
-    return f"{piece.low}..{piece.high}"
+    return f"{entry.low}..{entry.high}"
 
 
-def format_reasons(missing: Iterable[Piece]) -> str:
+def format_reasons(missing: Iterable[RangeCoverage]) -> str:
     """Return the reasons for missing ranges, each with the ranges it applies to."""
     ranges_by_reason = {}
-    for piece in missing:
-        ranges_by_reason.setdefault(piece.why, []).append(format_range(piece))
-    return "; ".join(f"{why}: {', '.join(ranges)}" for why, ranges in ranges_by_reason.items())
+    for entry in missing:
+        ranges_by_reason.setdefault(entry.missing_reason, []).append(format_range(entry))
+    return "; ".join(
+        f"{reason}: {', '.join(ranges)}" for reason, ranges in ranges_by_reason.items()
+    )
--- a/mothnotch/decisions/endpoint_list.py
+++ b/mothnotch/decisions/endpoint_list.py
@@ -13,7 +13,7 @@
 STATES = ("up", "draining", "removed")
 # Start times kept for each departed leaf. A leaf rarely restarts more often than this while the
 # agents' lists differ.
-MAX_STARTS = 4
+MAX_STARTS_PER_LEAF = 4
 # Maximum number of departed leaves kept; beyond it the oldest is dropped.
 MAX_DEPARTED = 4096
 
@@ -125,22 +125,22 @@
         """Accept a snapshot of any version next, as a different agent is queried from now on."""
         self.agent_changed = True
 
-    def is_stale_delta(self, version: int, whole: bool) -> bool:
+    def is_stale_delta(self, version: int, is_snapshot: bool) -> bool:
         """Return whether a new agent's first message is a delta older than the current list.
 
         Such a delta does not show what the agent's list contains; only its snapshot does.
         """
-        return self.agent_changed and not whole and version < self.version
+        return self.agent_changed and not is_snapshot and version < self.version
 
-    def apply(self, version: int, whole: bool, leaves: Sequence[Leaf]) -> list[Leaf] | None:
+    def apply(self, version: int, is_snapshot: bool, leaves: Sequence[Leaf]) -> list[Leaf] | None:
         """Apply a list and return its leaves with their effective states; None if it is not new.
 
-        `whole`: the list is a snapshot, not a delta.
+        `is_snapshot`: the list is a snapshot, not a delta.
         """
-        if not whole and version <= self.version:
+        if not is_snapshot and version <= self.version:
             self.agent_changed = False
             return None
-        if whole:
+        if is_snapshot:
             self._remove_unlisted(version, {leaf.name for leaf in leaves})
         changed = [self._apply_leaf(version, leaf) for leaf in leaves]
         while len(self.departed) > self.max_departed:
@@ -178,5 +178,5 @@
         known = self.departed.pop(name, Departure(version, ()))
         others = tuple(other for other in known.starts if other != started)
         self.departed[name] = Departure(
-            max(version, known.version), (*others[1 - MAX_STARTS :], started)
+            max(version, known.version), (*others[1 - MAX_STARTS_PER_LEAF :], started)
         )
--- a/mothnotch/decisions/memory_budget.py
+++ b/mothnotch/decisions/memory_budget.py
@@ -37,7 +37,7 @@
     REJECTED = "refuse"
 
 
-class Pool:
+class ResourcePool:
     """Account for the holders of one resource of `limit` bytes."""
 
     def __init__(self, limit: int):
@@ -86,11 +86,11 @@
 class MemoryBudget:
     """Memory and disk budgets shared by the open queries of a root."""
 
-    def __init__(self, memory: int, disk: int, usual_weight: float = 1.0):
-        """Start with both free; `usual_weight`: the priority weight whose factor is 1."""
-        self.memory = Pool(memory)
-        self.disk = Pool(disk)
-        self.usual_weight = usual_weight
+    def __init__(self, memory: int, disk: int, reference_weight: float = 1.0):
+        """Start with both free; `reference_weight`: the priority weight whose factor is 1."""
+        self.memory = ResourcePool(memory)
+        self.disk = ResourcePool(disk)
+        self.reference_weight = reference_weight
         # By query: the factor of its caps, from its priority weight.
         self.factors: dict[Hashable, float] = {}
 
@@ -99,13 +99,13 @@
 
         Rejects new queries before running ones would fail, lowest priority weight first.
         """
-        factor = self.usual_weight / weight if weight > 0 else MAX_WEIGHT_FACTOR
+        factor = self.reference_weight / weight if weight > 0 else MAX_WEIGHT_FACTOR
         min_free = MIN_FREE_FRACTION * max(1.0, min(MAX_WEIGHT_FACTOR, factor))
         return all(pool.free >= min_free * pool.limit for pool in (self.memory, self.disk))
 
     def open(self, name: Hashable, weight: float) -> None:
         """Add a query; `weight`: the balancer's priority weight for it, relative to its work."""
-        factor = weight / self.usual_weight if self.usual_weight > 0 else 1.0
+        factor = weight / self.reference_weight if self.reference_weight > 0 else 1.0
         self.factors[name] = min(MAX_WEIGHT_FACTOR, max(1 / MAX_WEIGHT_FACTOR, factor))
 
     def close(self, name: Hashable) -> None:
--- a/mothnotch/decisions/poll_policy.py
+++ b/mothnotch/decisions/poll_policy.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 
 # Fraction of the wait that is random for each poll, so that roots do not poll in step.
-WAIT_SPREAD = 0.25
+WAIT_JITTER = 0.25
 # Consul itself extends the wait by up to 1/16, as jitter.
 CONSUL_WAIT_FACTOR = 17 / 16
 # An agent has failed if its answer takes this much longer than the longest wait.
@@ -18,14 +18,14 @@
 # If all agents are slow, only a longer timeout yields a list.
 MAX_DOUBLINGS = 2
 # Number of answers accepted in a burst before polls are delayed.
-BURST = 20.0
+ANSWER_BURST = 20.0
 # Sustained rate of answers: a catalogue that changes constantly is not polled faster than its
 # changes can be applied.
 ANSWERS_PER_S = 10.0
 # Upper bound on the retry delay that an agent may request.
 MAX_RETRY_AFTER_S = 30.0
 # Maximum random delay after an answer without progress, so that it is not repeated in a busy loop.
-STUCK_S = 0.5
+MAX_NO_PROGRESS_DELAY_S = 0.5
 
 
 @dataclass(slots=True, frozen=True)
@@ -60,15 +60,15 @@
         # Number of consecutive failures.
         self.failures = 0
         # Token bucket that limits the rate of answers.
-        self.tokens = BURST
-        self.tokens_at_s = 0.0
+        self.tokens = ANSWER_BURST
+        self.tokens_updated_s = 0.0
         # By agent: the earliest time of its next poll, from the retry delay it requested.
         self.not_before_s = [0.0] * agents
         self.delay_s = 0.0
 
     def next_poll(self, now_s: float) -> Poll:
         """Return the next poll."""
-        wait_s = self.wait_s * (1 - WAIT_SPREAD * self.random())
+        wait_s = self.wait_s * (1 - WAIT_JITTER * self.random())
         doublings = min(self.failures // self.agents, MAX_DOUBLINGS)
         longest_wait_s = wait_s * CONSUL_WAIT_FACTOR if self.index else 0.0
         timeout_s = longest_wait_s + ANSWER_SLACK_S * 2**doublings
@@ -81,13 +81,15 @@
         self.failures = 0
         went_back = index < self.index
         self.index = 0 if went_back or index < 1 else index
-        self.tokens = min(BURST, self.tokens + (now_s - self.tokens_at_s) * ANSWERS_PER_S)
-        self.tokens_at_s = now_s
+        self.tokens = min(
+            ANSWER_BURST, self.tokens + (now_s - self.tokens_updated_s) * ANSWERS_PER_S
+        )
+        self.tokens_updated_s = now_s
         self.tokens -= 1
         if self.tokens < 0:
             self.delay_s = -self.tokens / ANSWERS_PER_S
         if not self.index or went_back:
-            self.delay_s = max(self.delay_s, STUCK_S * self.random())
+            self.delay_s = max(self.delay_s, MAX_NO_PROGRESS_DELAY_S * self.random())
 
     def on_failure(self, now_s: float, retry_after_s: float = 0.0) -> None:
         """Record that the current agent failed, and continue with the next one at index 0."""
--- a/mothnotch/decisions/registration_policy.py
+++ b/mothnotch/decisions/registration_policy.py
@@ -10,7 +10,7 @@
 # Number of heartbeats per TTL of the check, so that losing one has no effect.
 HEARTBEATS_PER_TTL = 3
 # Fraction of the heartbeat interval that is random, so that roots do not send in step.
-HEARTBEAT_SPREAD = 0.2
+HEARTBEAT_JITTER = 0.2
 # Delay after a failure, doubled for each further one up to the heartbeat interval.
 BACKOFF_S = 0.2
 # Maximum number of doublings; keeps the power from growing without bound.
@@ -53,7 +53,7 @@
         # Number of consecutive failures.
         self.failures = 0
         # Agents at which this root is, or may be, registered.
-        self.holders: set[int] = set()
+        self.agents_to_deregister: set[int] = set()
 
     def next_step(self) -> RegistrationStep:
         """Return the next step."""
@@ -67,7 +67,7 @@
             backoff_s = BACKOFF_S * 2 ** min(self.failures, MAX_DOUBLINGS)
             return min(interval_s, backoff_s) * (0.5 + 0.5 * self.random())
         if self.registered:
-            return interval_s * (1 - HEARTBEAT_SPREAD * self.random())
+            return interval_s * (1 - HEARTBEAT_JITTER * self.random())
         return 0.0
 
     def on_success(self, step: RegistrationStep) -> None:
@@ -75,16 +75,16 @@
         self.failures = 0
         self.failing_since_s = None
         if step.kind is StepKind.DEREGISTER:
-            self.holders.discard(step.agent)
+            self.agents_to_deregister.discard(step.agent)
         else:
             self.registered = True
-            self.holders.add(step.agent)
+            self.agents_to_deregister.add(step.agent)
 
     def on_failure(self, now_s: float, step: RegistrationStep, lost: bool = False) -> None:
         """Record that a step failed; `lost`: the agent does not know this root."""
         if step.kind is StepKind.REGISTER:
             # The agent may have carried it out nevertheless.
-            self.holders.add(step.agent)
+            self.agents_to_deregister.add(step.agent)
         if lost:
             self.registered = False
             self.failures = 0 if step.kind is StepKind.HEARTBEAT else self.failures + 1
@@ -99,4 +99,7 @@
 
     def shutdown_steps(self) -> list[RegistrationStep]:
         """Return the steps of a graceful shutdown: deregister at every possible holder."""
-        return [RegistrationStep(StepKind.DEREGISTER, agent, 0.0) for agent in sorted(self.holders)]
+        return [
+            RegistrationStep(StepKind.DEREGISTER, agent, 0.0)
+            for agent in sorted(self.agents_to_deregister)
+        ]
--- a/mothnotch/decisions/resource_limits.py
+++ b/mothnotch/decisions/resource_limits.py
@@ -10,7 +10,7 @@
 from typing import Protocol, TypeVar
 
 # Descriptors reserved for the process itself: poller, signals, log and discovery watches.
-OWN_DESCRIPTORS = 16
+RESERVED_DESCRIPTORS = 16
 # Minimum number of descriptors to divide, so that clients and leaves get some at any limit.
 MIN_SHARED_DESCRIPTORS = 8
 # A graceful shutdown may take the longest deadline of a query, counted up to this bound.
@@ -21,7 +21,7 @@
 # SIGTERM arrives, and again when it answers.
 ANSWER_MARGIN_S = 0.3
 # Delay between the last answer and exit; short enough that the process ends before the kill.
-EXIT_S = 0.1
+EXIT_DELAY_S = 0.1
 # Delay before retrying to bind an address that is still in use at startup.
 LISTEN_RETRY_S = 0.05
 # Startup fails if the address is still in use after this time.
@@ -29,7 +29,7 @@
 # Time by which an answer that waits behind another one may exceed its client's deadline.
 PIPELINE_SLACK_S = 0.25
 # A task that resumes this much later than due has stalled; data that arrived meanwhile is unread.
-STALLED_S = 0.05
+STALL_THRESHOLD_S = 0.05
 # Fraction of a leaf's idle time after which the root closes an idle connection. If the leaf closed
 # first, a request sent at that moment may have run. The rest covers network delay and stalls.
 LEAF_IDLE_FRACTION = 0.75
@@ -42,19 +42,19 @@
     # Maximum number of client connections; beyond it the longest idle one is closed.
     clients: int
     # Maximum number of connections to all leaves together.
-    leaf_connections: int
+    max_leaf_connections: int
     # Idle time after which a connection to a leaf is closed.
     leaf_idle_s: float
     # Idle time after which a client's connection is closed.
     client_idle_s: float
     # Maximum time from connecting, or from the first byte of a request, to its last byte.
-    request_s: float
+    request_timeout_s: float
     # Maximum time for a client to read its answer.
-    send_s: float
+    send_timeout_s: float
     # Time after SIGTERM during which new connections are still accepted.
-    stopping_s: float
+    shutdown_accept_s: float
     # Time after SIGTERM by which every request is answered.
-    ending_s: float
+    shutdown_answer_s: float
     # Time for which a connection is still read after the client was asked to close it.
     linger_s: float
 
@@ -65,17 +65,17 @@
     `idle_us`: idle time after which its leaves close a connection. `longest_deadline_us`: the
     longest deadline of any query class.
     """
-    shared = max(MIN_SHARED_DESCRIPTORS, descriptors - OWN_DESCRIPTORS)
+    shared = max(MIN_SHARED_DESCRIPTORS, descriptors - RESERVED_DESCRIPTORS)
     longest_s = min(longest_deadline_us / 1e6, MAX_SHUTDOWN_DEADLINE_S)
     return ResourceLimits(
         clients=shared // 2,
-        leaf_connections=shared // 4,
+        max_leaf_connections=shared // 4,
         leaf_idle_s=LEAF_IDLE_FRACTION * idle_us / 1e6,
         client_idle_s=8.0,
-        request_s=2.0,
-        send_s=3.0,
-        stopping_s=0.55,
-        ending_s=longest_s + SHUTDOWN_SLACK_S - ANSWER_MARGIN_S,
+        request_timeout_s=2.0,
+        send_timeout_s=3.0,
+        shutdown_accept_s=0.55,
+        shutdown_answer_s=longest_s + SHUTDOWN_SLACK_S - ANSWER_MARGIN_S,
         linger_s=0.5,
     )
 
--- a/mothnotch/decisions/retry_budget.py
+++ b/mothnotch/decisions/retry_budget.py
@@ -30,12 +30,12 @@
         if self.bounded:
             self.admitted.add(now_us, 1 + parts)
 
-    def may_send(self, now_us: int, ahead: int = 0) -> bool:
-        """Return whether a retry may be sent now, with `ahead` others queued before it."""
+    def may_send(self, now_us: int, queued_before: int = 0) -> bool:
+        """Return whether a retry may be sent now, with `queued_before` others ahead of it."""
         if not self.bounded:
             return True
         allowed = self.rules.retries_allowed(self.admitted.total(now_us))
-        return self.sent.total(now_us) + ahead + 1 <= allowed
+        return self.sent.total(now_us) + queued_before + 1 <= allowed
 
     def record_sent(self, now_us: int) -> None:
         """Count a sent retry."""
--- a/mothnotch/decisions/settings.py
+++ b/mothnotch/decisions/settings.py
@@ -6,14 +6,14 @@
 
 from mothnotch.decisions.interface import Idempotency, Limits, QueryClass, Rules, Settings
 
-IDEMPOTENCY_BY_WORD = {
+IDEMPOTENCY_BY_SEMANTICS = {
     "pure": Idempotency.IDEMPOTENT,
     "token": Idempotency.WITH_KEY,
     "side_effect": Idempotency.NOT_IDEMPOTENT,
 }
 
 
-def settings(options: dict) -> Settings:
+def parse_settings(options: dict) -> Settings:
     """Return the Settings from a JSON object of options, ignoring unknown keys.
 
     Raise KeyError if a key without a default is missing.
@@ -24,7 +24,7 @@
         root_index=options.get("me", 0),
         zone=options.get("zone", ""),
         classes={
-            lane["name"]: _query_class(lane, family, number)
+            lane["name"]: _parse_query_class(lane, family, number)
             for number, lane in enumerate(options["lanes"])
         },
         tenant_quotas_qps={
@@ -38,14 +38,14 @@
         must_subscribe=options.get("discovery") == "subscribe",
         has_endpoint_weights=options.get("weightSource", "off") != "off",
         tick_us=options["stepUs"],
-        limits=_limits(options.get("limits", {})),
-        rules=_rules(options.get("rules", {})),
+        limits=_parse_limits(options.get("limits", {})),
+        rules=_parse_rules(options.get("rules", {})),
         prices=options.get("prices", {}),
         clients_mark_retries=bool((options.get("clients") or {}).get("marksRetry")),
     )
 
 
-def _query_class(lane, family, number):
+def _parse_query_class(lane, family, number):
     """Return the class of a lane; the family lists some of its values by lane number."""
 
     def by_number(key, default):
@@ -59,7 +59,7 @@
         deadline_us=lane["deadlineUs"],
         priority_weight=lane["worth"],
         late_weight=lane.get("lateWorth", 0.0),
-        idempotency=IDEMPOTENCY_BY_WORD[lane["semantics"]],
+        idempotency=IDEMPOTENCY_BY_SEMANTICS[lane["semantics"]],
         idempotency_window_us=lane.get("repeatWindowUs"),
         objective_cost_factor=lane.get("aimStretch") or 0.0,
         min_answer_weight=by_number("floorByClass", complete_weight),
@@ -69,7 +69,7 @@
     )
 
 
-def _limits(limits):
+def _parse_limits(limits):
     return Limits(
         cancel=limits.get("cancel", False),
         health_checks=limits.get("probes", False),
@@ -82,7 +82,7 @@
     )
 
 
-def _rules(rules):
+def _parse_rules(rules):
     return Rules(
         answer_slack_us=rules.get("answerSlackUs", 0),
         initial_capacity=rules.get("coldFrom", 1.0),
--- a/mothnotch/decisions/start_times.py
+++ b/mothnotch/decisions/start_times.py
@@ -11,13 +11,13 @@
 discarded, and the leaf counts as started when the message arrived. Only for the first list of a
 process is there no previous message to check against; there the wall clock is trusted.
 
-Cost: a leaf that discovery lists more than `MAX_NOTICE_US` after its start counts as started more
-recently than it was. So does a leaf whose root had a wrong wall clock at process start, fast or
-slow: a start time in the future counts as now.
+Cost: a leaf that discovery lists more than `MAX_DISCOVERY_DELAY_US` after its start counts as
+started more recently than it was. So does a leaf whose root had a wrong wall clock at process
+start, fast or slow: a start time in the future counts as now.
 """
 
 # Maximum delay between a start and its listing while discovery is up; settings state up to 5 s.
-MAX_NOTICE_US = 10_000_000
+MAX_DISCOVERY_DELAY_US = 10_000_000
 # Earliest time on the monotonic clock that does not mean "long ago".
 EARLIEST_US = 1
 # Start time that means "long ago": the leaf is warmed up.
@@ -36,44 +36,44 @@
         """Record the offset between the two clocks, once."""
         self.wall_offset_s = wall_s - now_us / 1e6
         # leaf -> (start time as listed, start time on the monotonic clock)
-        self.known: dict[str, tuple[float | None, int]] = {}
+        self.starts: dict[str, tuple[float | None, int]] = {}
         self.last_message_us: int | None = None
 
     def record_message(self, now_us: int) -> None:
         """Record the time of a message from discovery, including a heartbeat."""
         self.last_message_us = now_us
 
-    def started_us(self, name: str, stated_s: float | None, now_us: int) -> int:
+    def started_us(self, name: str, listed_s: float | None, now_us: int) -> int:
         """Return a leaf's start time on the monotonic clock; `LONG_AGO_US` if long ago.
 
-        `stated_s`: its listed start time in seconds of wall-clock time; None means long ago.
+        `listed_s`: its listed start time in seconds of wall-clock time; None means long ago.
         """
-        known = self.known.pop(name, None)
-        if known is not None and known[0] == stated_s:
+        known = self.starts.pop(name, None)
+        if known is not None and known[0] == listed_s:
             # The same process, listed again: keep its start time exactly.
             started_us = known[1]
         else:
-            started_us = self._first_listed(stated_s, now_us)
-        self.known[name] = stated_s, started_us
-        if len(self.known) > MAX_LEAVES:
-            del self.known[next(iter(self.known))]
+            started_us = self._convert_new_start(listed_s, now_us)
+        self.starts[name] = listed_s, started_us
+        if len(self.starts) > MAX_LEAVES:
+            del self.starts[next(iter(self.starts))]
         return started_us
 
-    def _first_listed(self, stated_s, now_us):
+    def _convert_new_start(self, listed_s, now_us):
         """Convert a start time that this root has not seen before."""
-        if stated_s is None:
+        if listed_s is None:
             return LONG_AGO_US
-        age_us = max(0, int((self.wall_offset_s - stated_s) * 1e6 + now_us))
-        if self._is_too_old(age_us, now_us):
+        age_us = max(0, int((self.wall_offset_s - listed_s) * 1e6 + now_us))
+        if self._is_implausible(age_us, now_us):
             age_us = 0
         if age_us < now_us:
             return now_us - age_us
         # The start precedes the monotonic clock's zero. A recent one becomes the earliest time that
         # the clock has, so that the leaf still counts as warming up.
-        return EARLIEST_US if age_us <= MAX_NOTICE_US else LONG_AGO_US
+        return EARLIEST_US if age_us <= MAX_DISCOVERY_DELAY_US else LONG_AGO_US
 
-    def _is_too_old(self, age_us, now_us):
+    def _is_implausible(self, age_us, now_us):
         """Return whether discovery would have listed the start earlier, so the clock was wrong."""
         if self.last_message_us is None:
             return False
-        return age_us > now_us - self.last_message_us + MAX_NOTICE_US
+        return age_us > now_us - self.last_message_us + MAX_DISCOVERY_DELAY_US
--- a/mothnotch/decisions/transactions.py
+++ b/mothnotch/decisions/transactions.py
@@ -184,11 +184,11 @@
         self.tables.add(table)
 
 
-def counts_agree(notified: Sequence[int | None], actual: Sequence[int]) -> bool:
+def counts_agree(reported: Sequence[int | None], actual: Sequence[int]) -> bool:
     """Return whether the leaf's row counts equal those reported to the client.
 
-    None in `notified`: no count has been reported for that statement. Raise ValueError if the
+    None in `reported`: no count has been reported for that statement. Raise ValueError if the
     lengths differ.
     """
-    pairs = zip(notified, actual, strict=True)
+    pairs = zip(reported, actual, strict=True)
     return all(expected is None or expected == count for expected, count in pairs)
--- a/mothnotch/decisions/watch_policy.py
+++ b/mothnotch/decisions/watch_policy.py
@@ -6,22 +6,22 @@
 from collections.abc import Callable
 
 # Interval at which a watch sends a message, even if nothing has changed.
-HEARTBEAT_S = 2.0
+HEARTBEAT_INTERVAL_S = 2.0
 # Number of heartbeat intervals of silence after which another watch is opened.
 MAX_SILENT_HEARTBEATS = 2.25
 # Time that a new watch has to send its first message, initially and at most. Doubled with each
 # further watch, so that a slow agent is not sent many requests.
-FIRST_MESSAGE_S = 0.5
-MAX_FIRST_MESSAGE_S = 6.0
+FIRST_MESSAGE_TIMEOUT_S = 0.5
+MAX_FIRST_MESSAGE_TIMEOUT_S = 6.0
 # Backoff before replacing the last open watch after it broke, initially and at most.
-REOPEN_S = 0.05
-MAX_REOPEN_S = 0.2
+REOPEN_DELAY_S = 0.05
+MAX_REOPEN_DELAY_S = 0.2
 # Timeout for connecting a watch.
 CONNECT_TIMEOUT_S = 1.0
 # Maximum number of open watches; beyond it the oldest is closed.
-MAX_OPEN = 3
+MAX_OPEN_WATCHES = 3
 # Time after which a root that received no list becomes ready with its configured list.
-READY_S = 8.0
+READY_TIMEOUT_S = 8.0
 # Delay before an invalid configuration is read again, as it may have been read while being written.
 RELOAD_RETRY_S = 0.1
 # Time after which reloading an invalid configuration gives up.
@@ -40,43 +40,47 @@
     """
 
     connect_timeout_s = CONNECT_TIMEOUT_S
-    max_open = MAX_OPEN
+    max_open = MAX_OPEN_WATCHES
 
     def __init__(self, random: Callable[[], float], now_s: float = 0.0):
         """Start without a watch, the first being due; `random()` returns numbers from 0 to 1."""
         self.random = random
-        self.began_s = now_s
+        self.started_s = now_s
         # When the next watch is due.
-        self.due_s = now_s
+        self.next_open_s = now_s
         self.open_count = 0
         # Whether any watch has sent a message.
         self.has_received = False
-        self.reopen_s = REOPEN_S
-        self.first_message_s = FIRST_MESSAGE_S
+        self.reopen_delay_s = REOPEN_DELAY_S
+        self.first_message_timeout_s = FIRST_MESSAGE_TIMEOUT_S
 
     def on_opened(self, now_s: float) -> None:
         """Record that a watch was opened."""
         self.open_count += 1
-        self.due_s = now_s + self.first_message_s
-        self.first_message_s = min(MAX_FIRST_MESSAGE_S, 2 * self.first_message_s)
+        self.next_open_s = now_s + self.first_message_timeout_s
+        self.first_message_timeout_s = min(
+            MAX_FIRST_MESSAGE_TIMEOUT_S, 2 * self.first_message_timeout_s
+        )
 
     def on_message(self, now_s: float) -> None:
         """Record that a watch sent a message; the caller closes the others."""
         self.has_received = True
         self.open_count = 1
         self._reset_backoff()
-        self.due_s = now_s + HEARTBEAT_S * MAX_SILENT_HEARTBEATS
+        self.next_open_s = now_s + HEARTBEAT_INTERVAL_S * MAX_SILENT_HEARTBEATS
 
     def on_broken(self, now_s: float) -> None:
         """Record that a watch ended; schedule another, with jitter, if it was the last one."""
         self.open_count -= 1
         if self.open_count == 0:
-            self.due_s = min(self.due_s, now_s + self.reopen_s * (0.5 + self.random() / 2))
-            self.reopen_s = min(MAX_REOPEN_S, 2 * self.reopen_s)
+            self.next_open_s = min(
+                self.next_open_s, now_s + self.reopen_delay_s * (0.5 + self.random() / 2)
+            )
+            self.reopen_delay_s = min(MAX_REOPEN_DELAY_S, 2 * self.reopen_delay_s)
 
     def on_agent_changed(self, now_s: float) -> None:
         """Record a switch to another agent; the open watches no longer count."""
-        self.due_s = now_s
+        self.next_open_s = now_s
         self.open_count = 0
         self._reset_backoff()
 
@@ -84,10 +88,11 @@
         """Return whether the root may report that it is ready.
 
         It needs the agent's list, as the platform counts that list as known to the root from its
-        start. Cost: while discovery is down, a starting root serves no queries for `READY_S`.
+        start. Cost: while discovery is down, a starting root serves no queries for
+        `READY_TIMEOUT_S`.
         """
-        return self.has_received or now_s - self.began_s >= READY_S
+        return self.has_received or now_s - self.started_s >= READY_TIMEOUT_S
 
     def _reset_backoff(self):
-        self.reopen_s = REOPEN_S
-        self.first_message_s = FIRST_MESSAGE_S
+        self.reopen_delay_s = REOPEN_DELAY_S
+        self.first_message_timeout_s = FIRST_MESSAGE_TIMEOUT_S
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -10,7 +10,7 @@
 import trio
 
 from mothnotch.decisions import coverage, outcomes, request_classes, transactions
-from mothnotch.decisions.coverage import Coverage, Piece
+from mothnotch.decisions.coverage import Coverage, RangeCoverage
 from mothnotch.decisions.outcomes import FinalStatus
 from mothnotch.leaves.payload import Read, Statement, Write, affected
 from mothnotch.pgwire import types as t
@@ -343,7 +343,7 @@
                     None if v is None else t.to_text(oid, v)
                     for v, (_, oid) in zip(statement.of(piece), plan.columns, strict=True)
                 ]
-                for piece in self.coverage.pieces
+                for piece in self.coverage.ranges
             ]
             return Answer(f"SELECT {len(rows)}", rows)
         return Answer(statement.tag)
@@ -480,7 +480,7 @@
                     missing=", ".join(coverage.format_range(piece) for piece in missing),
                 ),
             )
-            fields.detail = f"{coverage.format_reasons(missing)}. The oldest piece was read {self.coverage.oldest_us // 1000} ms ago."
+            fields.detail = f"{coverage.format_reasons(missing)}. The oldest piece was read {self.coverage.oldest_read_age_us // 1000} ms ago."
             answer.notices.append(fields)
             self.service.core.log.info(
                 "answered in part",
@@ -493,7 +493,7 @@
     def piece(self, spec, n, outcome):
         low, high = self.service.schema.range(spec.shard)
         leaf, read_us = outcome.sources.get(n, (None, None))
-        return Piece(
+        return RangeCoverage(
             low,
             high - 1,
             spec.weight,
--- a/mothnotch/net/read_first.py
+++ b/mothnotch/net/read_first.py
@@ -6,7 +6,7 @@
 
 import trio
 
-from mothnotch.decisions.resource_limits import STALLED_S
+from mothnotch.decisions.resource_limits import STALL_THRESHOLD_S
 
 
 async def let_connections_read(due_s: float) -> None:
@@ -19,5 +19,5 @@
     """
     began_s = min(due_s, trio.current_time())
     await trio.lowlevel.checkpoint()
-    if trio.current_time() - began_s > STALLED_S:
+    if trio.current_time() - began_s > STALL_THRESHOLD_S:
         await trio.lowlevel.checkpoint()
--- a/mothnotch/node/call_writer.py
+++ b/mothnotch/node/call_writer.py
@@ -4,7 +4,7 @@
 
 from mothnotch.decisions import connection_policy
 from mothnotch.decisions.interface import Result
-from mothnotch.decisions.invariants import TOLD_SLACK_S, Invariant
+from mothnotch.decisions.invariants import DEADLINE_SLACK_S, Invariant
 from mothnotch.node import frames
 from mothnotch.node.call_context import CallContext
 from mothnotch.node.leaf_connection import FrameSpan, LeafConnection
@@ -80,7 +80,7 @@
         deadline_ms = max(1, int((attempt.deadline - now_s) * 1000))
         left_s = attempt.part.query.request.deadline_us / 1e6 - now_s
         self.context.violations.check(
-            deadline_ms / 1000 <= max(0, left_s) + TOLD_SLACK_S,
+            deadline_ms / 1000 <= max(0, left_s) + DEADLINE_SLACK_S,
             Invariant.TOLD_TOO_LONG,
             wire_id=attempt.call.wire_id,
             told_ms=deadline_ms,
--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -69,12 +69,12 @@
         if self.lingering:
             return self.since_s + share.linger_s
         if self.unsent:
-            return self.since_s + share.send_s
+            return self.since_s + share.send_timeout_s
         if self.query is not None:
             return None
         if self.served and not self.partial:
             return self.since_s + share.client_idle_s
-        return self.since_s + share.request_s
+        return self.since_s + share.request_timeout_s
 
     # ---- requests in ----
 
--- a/mothnotch/node/config.py
+++ b/mothnotch/node/config.py
@@ -81,7 +81,7 @@
         raise ConfigError(f"{path}: {error}") from None
     _check_file(file, path)
     try:
-        settings = simulator.settings(file.settings)
+        settings = simulator.parse_settings(file.settings)
         limits = file.settings.get("limits", {})
         family = file.settings["familyInfo"]
         shards = int(family.get("slabs", settings.cell_count))
--- a/mothnotch/node/discovery.py
+++ b/mothnotch/node/discovery.py
@@ -98,9 +98,9 @@
         async with trio.open_nursery() as nursery:
             while True:
                 self.changed = trio.Event()
-                with trio.move_on_at(self.renewal.due_s):
+                with trio.move_on_at(self.renewal.next_open_s):
                     await self.changed.wait()
-                if self.renewal.due_s <= trio.current_time():
+                if self.renewal.next_open_s <= trio.current_time():
                     scope = trio.CancelScope()
                     self.open_scopes.append(scope)
                     self.renewal.on_opened(trio.current_time())
--- a/mothnotch/node/root.py
+++ b/mothnotch/node/root.py
@@ -7,7 +7,7 @@
 import trio
 
 from mothnotch.decisions.resource_limits import (
-    EXIT_S,
+    EXIT_DELAY_S,
     LISTEN_RETRY_S,
     LISTEN_TIMEOUT_S,
     derive_limits,
@@ -56,7 +56,7 @@
             log,
             config.streams,
             settings.parts_per_call,
-            self.share.leaf_connections,
+            self.share.max_leaf_connections,
             self.share.leaf_idle_s,
             (settings.limits.connect_timeout_us or CONNECT_TIMEOUT_US) / 1e6,
             settings.limits.hedging,
@@ -158,11 +158,11 @@
         if self.frontend.context.stopping:
             return
         began_s = trio.current_time()
-        answer_by_s = began_s + self.share.ending_s
+        answer_by_s = began_s + self.share.shutdown_answer_s
         self.frontend.begin_shutdown(answer_by_s)
-        await trio.sleep_until(began_s + self.share.stopping_s)
+        await trio.sleep_until(began_s + self.share.shutdown_accept_s)
         await self.frontend.stop(self.listeners)
-        with trio.move_on_at(answer_by_s + EXIT_S):
+        with trio.move_on_at(answer_by_s + EXIT_DELAY_S):
             # At least once: a connection that was accepted just now is not among the clients before
             # its task has begun.
             await trio.sleep(STOP_POLL_S)
--- a/mothnotch/root/core.py
+++ b/mothnotch/root/core.py
@@ -19,7 +19,12 @@
     Settings,
     WatchEvent,
 )
-from mothnotch.decisions.invariants import FINAL_SLACK_S, Invariant, SlowStart, Violations
+from mothnotch.decisions.invariants import (
+    FINAL_ANSWER_SLACK_S,
+    Invariant,
+    SlowStartMonitor,
+    Violations,
+)
 from mothnotch.decisions.outcomes import FinalStatus
 from mothnotch.decisions.retry_budget import RetryBudget
 from mothnotch.root.actions import ActionHandlers
@@ -80,7 +85,7 @@
         self.subscribe = trio.Event()
 
         self.further = RetryBudget(settings.rules)
-        self.slow_start = SlowStart(settings.rules, self.mean_work_us)
+        self.slow_start = SlowStartMonitor(settings.rules, self.mean_work_us)
         self.violations = Violations(log.error)
         self.counts = new_counters()
         # Number of rejections and failures by the reason that the balancer gave.
@@ -193,7 +198,7 @@
 
     def on_watch_event(self, event: WatchEvent):
         """Process a change of the endpoint list."""
-        self.slow_start.listed(event.entries)
+        self.slow_start.update_endpoints(event.entries)
         self.post(event)
 
     def query_error(self, query: Query, error: object):
@@ -215,7 +220,7 @@
         self.violations.check(query.outcome is None, Invariant.ANSWERED_TWICE, query=query.id)
         late_s = trio.current_time() - query.request.deadline_us / 1e6
         self.violations.check(
-            late_s < FINAL_SLACK_S, Invariant.FINAL_LATE, query=query.id, late_s=late_s
+            late_s < FINAL_ANSWER_SLACK_S, Invariant.FINAL_LATE, query=query.id, late_s=late_s
         )
         query.outcome = outcome
         if query.room is not None:
--- a/mothnotch/simulator_adapter.py
+++ b/mothnotch/simulator_adapter.py
@@ -13,7 +13,7 @@
 
 from mothnotch.decisions.balancer import Balancer
 from mothnotch.decisions.interface import Endpoint, WatchEvent, WatchEventKind
-from mothnotch.decisions.settings import settings
+from mothnotch.decisions.settings import parse_settings
 from mothnotch.simulator_wire import (
     EVENT_READERS,
     SKIPPED_MESSAGES,
@@ -88,7 +88,7 @@
         if name == "OPEN_INSTANCE":
             root = int(fields["root"])
             options = json.loads(fields["options"])
-            self.instances[root] = Balancer(settings(options), int(fields["randomSeed"]))
+            self.instances[root] = Balancer(parse_settings(options), int(fields["randomSeed"]))
             events[root] = []
         elif name == "DOWN":
             self.instances.pop(int(fields["root"]), None)
--- a/mothnotch/sql/local.py
+++ b/mothnotch/sql/local.py
@@ -379,9 +379,9 @@
     "range_high": (t.INT8, lambda p: p.high),
     "share": (t.FLOAT8, lambda p: p.weight),
     "answered": (t.BOOL, lambda p: p.answered),
-    "why": (t.TEXT, lambda p: p.why or None),
+    "why": (t.TEXT, lambda p: p.missing_reason or None),
     "leaf": (t.TEXT, lambda p: p.leaf),
-    "read_ms_ago": (t.FLOAT8, lambda p: None if p.read_us is None else p.read_us / 1000),
+    "read_ms_ago": (t.FLOAT8, lambda p: None if p.read_age_us is None else p.read_age_us / 1000),
 }
 
 
