--- a/mothnotch/audit/breaches.py
+++ b/mothnotch/audit/breaches.py
@@ -28,7 +28,7 @@
     def closing(query, outcome):
         close(query, outcome)
         part = query.parts[0]
-        if part.sends and part.rows is not None:
+        if part.attempt_count and part.rows is not None:
             server = next(iter(root.leaves.leaves))
 
             class Late(Attempt):
@@ -113,8 +113,8 @@
 
 def silent(root):
     """Does not pass on refusals: those clients hear nothing in time."""
-    root.core.on[i.Reject] = root.core.on[i.Fail] = lambda action: None
-    root.core.guard = False
+    root.core.handlers[i.Reject] = root.core.handlers[i.Fail] = lambda action: None
+    root.core.enforce_deadlines = False
 
 
 def double(root):
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -197,7 +197,7 @@
         # At most one report for each Subscribe: the module answers every report, and each answer
         # wakes every watch, so that two watches that both reported would double the number of
         # queries with each round.
-        subscribe = self.core.subscribe
+        subscribe = self.core.endpoints_requested
         if self._reported_subscribe is not subscribe:
             self._reported_subscribe = subscribe
             self.core.on_watch_event(WatchEvent(WatchEventKind.FAILED, self.version, ()))
--- a/mothnotch/daemon.py
+++ b/mothnotch/daemon.py
@@ -57,7 +57,7 @@
         self._random = random
         self.leaves = Leaves(network, config.pool(), log)
         self.core = self._make_core(seed)
-        self.core.clock = cpu
+        self.core.cpu_clock = cpu
         self._run_name = f"{config.root.me}-{random(RUN_NAME_BYTES).hex()}"
         schema = config.schema()
         planner = Planner(schema, config.front.plans)
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -371,8 +371,8 @@
             key,
             now_us() + limit,
             tuple(parts),
-            worth=c.worth,
-            overflow=ErrorFields(
+            priority_weight=c.worth,
+            overflow_error=ErrorFields(
                 "ERROR",
                 full.sqlstate,
                 full.text.format(memory=memory.limit_bytes, disk=memory.disk_bytes),
@@ -406,9 +406,9 @@
 
     def settled(self, outcome, writes=False, commits=False):
         """Raises what is not rows."""
-        if outcome.final is FinalStatus.REJECTED:
+        if outcome.status is FinalStatus.REJECTED:
             self.refused(outcome.retry_after_us)
-        if outcome.final is FinalStatus.FAILED:
+        if outcome.status is FinalStatus.FAILED:
             failure = outcomes.failure(writes, commits, outcome.may_have_run)
             raise SqlError(failure.sqlstate, failure.text, failure.hint)
         if outcome.error is not None:
@@ -457,7 +457,7 @@
         self.settled(outcome)
         for took in outcome.latencies_us:
             self.service.costs.record(plan.shape, plan.tables, took)
-        parts, room = [outcome.rows[n].rows for n in sorted(outcome.rows)], outcome.room
+        parts, room = [outcome.rows[n].rows for n in sorted(outcome.rows)], outcome.storage
         if room is None or room.held + room.spilled <= SMALL:
             try:
                 rows = gather(plan, parts, parameters)
@@ -571,7 +571,7 @@
             outcome = await self.ask(self.class_for(False), specs, self.key_of(plan, parameters))
             self.settled(outcome)
             ((told,),) = outcome.rows[0].rows
-            outcome.room.close()
+            outcome.storage.close()
             told = int(told)
         write = transactions.BufferedWrite(self.bound(plan, parameters, shard), told, plan)
         self.transaction.buffer_write(write, shard, plan.table)
--- a/mothnotch/leaves/write_exchange.py
+++ b/mothnotch/leaves/write_exchange.py
@@ -122,7 +122,7 @@
             return self._roll_back(None)
         self._end_round = self._end_commit
         self.committing = True
-        self._attempt.part.committing = True
+        self._attempt.part.commit_sent = True
         return (
             self._statement(_STORE_ANSWER_SQL, self._payload.key, stored)
             + self._statement("COMMIT")
--- a/mothnotch/node/call_writer.py
+++ b/mothnotch/node/call_writer.py
@@ -70,7 +70,7 @@
         """
         return (
             connection_policy.client_may_have_disconnected(self.context.network.unseen_s())
-            and attempt.part.query.has_left()
+            and attempt.part.query.has_disconnected()
         )
 
     def _part(self, attempt, now_s):
--- a/mothnotch/node/cancellation.py
+++ b/mothnotch/node/cancellation.py
@@ -108,8 +108,8 @@
     def _abandon(self, connection, wire_id):
         connection.abandoned[wire_id] = None
         self.abandoned_on[wire_id] = connection
-        if self.context.trace.on:
-            self.context.trace.note(
+        if self.context.trace.enabled:
+            self.context.trace.record(
                 "given up",
                 wire_id=wire_id,
                 leaf=connection.leaf.name,
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -101,8 +101,8 @@
                 request=client.request_id,
                 reason=reason.name,
             )
-        if core.trace.on:
-            core.trace.note(
+        if core.trace.enabled:
+            core.trace.record(
                 "client connection closed",
                 client=id(client),
                 reason=reason.name,
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -244,8 +244,8 @@
                         connection.close_if_idle(LeafClose.IDLE)
 
     def _trace_closed(self, connection, reason):
-        if self.context.trace.on:
-            self.context.trace.note(
+        if self.context.trace.enabled:
+            self.context.trace.record(
                 "leaf connection closed",
                 leaf=connection.leaf.name,
                 link=id(connection),
--- a/mothnotch/node/leaf_connection.py
+++ b/mothnotch/node/leaf_connection.py
@@ -169,7 +169,7 @@
             if before_bytes <= frame.begin_bytes < self.written_bytes:
                 for attempt in frame.attempts:
                     attempt.on_sending()
-                    if self.pool.context.trace.on:
+                    if self.pool.context.trace.enabled:
                         self._trace_sent(attempt, at_s)
         while self.unsent_frames and self.unsent_frames[0].end_bytes <= self.written_bytes:
             for attempt in self.unsent_frames.popleft().attempts:
@@ -182,7 +182,7 @@
         self.close(LeafClose.ENDED)
 
     def _trace_sent(self, attempt, at_s):
-        self.pool.context.trace.note(
+        self.pool.context.trace.record(
             "sent",
             wire_id=attempt.call.wire_id,
             part=attempt.part.id,
--- a/mothnotch/node/request_handler.py
+++ b/mothnotch/node/request_handler.py
@@ -53,7 +53,7 @@
         client.request_id = request_id
         self.open_request_ids.add(request_id)
         self.shorten_deadline(client, client.http.trailing_data[0], client.arrived_s)
-        if core.trace.on:
+        if core.trace.enabled:
             self._trace_request(client, request)
 
     def shorten_deadline(self, client: ClientConnection, data: bytes, at_s: float):
@@ -78,9 +78,9 @@
 
     def finish(self, client: ClientConnection, query, outcome):
         """Send the final answer of a client's open query, then read on."""
-        if outcome.final is FinalStatus.ANSWERED:
+        if outcome.status is FinalStatus.ANSWERED:
             client.answer(200, requests.answered(query, outcome))
-        elif outcome.final is FinalStatus.REJECTED:
+        elif outcome.status is FinalStatus.REJECTED:
             client.answer(
                 503,
                 b'{"error":"refused; asking again is harmless"}',
@@ -92,7 +92,7 @@
             client.connections.run_step(client, client.advance)
 
     def _trace_request(self, client, request):
-        self.context.core.trace.note(
+        self.context.core.trace.record(
             "request",
             request=client.request_id,
             query=client.query.id,
--- a/mothnotch/node/root.py
+++ b/mothnotch/node/root.py
@@ -61,7 +61,7 @@
             (settings.limits.connect_timeout_us or CONNECT_TIMEOUT_US) / 1e6,
             settings.limits.hedging,
         )
-        self.core = Core(settings, config.seed, self.pool, log, most_open=config.most_open)
+        self.core = Core(settings, config.seed, self.pool, log, max_open=config.most_open)
         self.core.trace = Trace.from_environment()
         self.pool.report_to(self.core.violations, self.core.trace)
         self.watch = DiscoveryWatch(
@@ -117,7 +117,7 @@
             "violations": self.core.violations.counts,
             "clients_closed": _by_name(connections.closed),
             "leaf_connections_closed": _by_name(self.pool.closed),
-            "given_up_for": self.core.reasons,
+            "given_up_for": self.core.reason_counts,
         }
 
     async def reload(self):
--- a/mothnotch/root/actions.py
+++ b/mothnotch/root/actions.py
@@ -22,14 +22,14 @@
 class ActionHandlers:
     """One handler for each kind of action.
 
-    `sends` maps each server to the attempts decided in this turn, in order. Bounds: it holds the
-    attempts of one turn; the dispatcher empties it at the end of the turn.
+    `pending_sends` maps each server to the attempts decided in this turn, in order. Bounds: it
+    holds the attempts of one turn; the dispatcher empties it at the end of the turn.
     """
 
     def __init__(self, core):
         """Create handlers that act on the core's table, leaves and counters."""
         self._core = core
-        self.sends = {}
+        self.pending_sends = {}
 
     def by_kind(self) -> dict:
         """Return the handler of each kind of action."""
@@ -53,18 +53,18 @@
         core = self._core
         part = core.parts[action.part]
         attempt = Attempt(
-            core, part, part.sends, action.server, action.timeout_us, action.retry_window_us
+            core, part, part.attempt_count, action.server, action.timeout_us, action.retry_window_us
         )
-        part.in_flight[part.sends] = attempt
-        part.sends += 1
+        part.in_flight[part.attempt_count] = attempt
+        part.attempt_count += 1
         if part.query.outcome is not None:
             # The client disconnected before this decision was carried out: nothing is sent after a
             # final answer.
             attempt.complete(Result.UNSENT)
             return
         core.counts["sends"] += 1
-        if core.trace.on:
-            core.trace.note(
+        if core.trace.enabled:
+            core.trace.record(
                 "attempt",
                 part=action.part,
                 attempt=attempt.number,
@@ -72,7 +72,7 @@
                 limit_us=action.timeout_us,
                 after=part.last_failure.value if part.last_failure else None,
             )
-        self.sends.setdefault(action.server, []).append(attempt)
+        self.pending_sends.setdefault(action.server, []).append(attempt)
 
     def cancel(self, action: Cancel):
         """Cancel an attempt, if it is still in flight."""
@@ -80,7 +80,7 @@
         attempt = part and part.in_flight.get(action.attempt)
         if attempt is None:
             return
-        same_turn = self.sends.get(attempt.server, [])
+        same_turn = self.pending_sends.get(attempt.server, [])
         if attempt in same_turn:
             same_turn.remove(attempt)
             attempt.complete(Result.UNSENT)
@@ -132,8 +132,8 @@
         core = self._core
         query = core.queries.get(action.query)
         # The query's attempts are cancelled in this same turn, so no COMMIT can be sent later.
-        committing = query is not None and any(part.committing for part in query.parts)
-        may_have_run = not core.settings.limits.cancel or committing
+        commit_sent = query is not None and any(part.commit_sent for part in query.parts)
+        may_have_run = not core.settings.limits.cancel or commit_sent
         outcome = Outcome(FinalStatus.FAILED, may_have_run=may_have_run)
         self._finish(action.query, outcome, "failed", action.reason)
 
@@ -143,10 +143,10 @@
         if query is None:
             # The client disconnected earlier in this turn.
             return
-        if core.trace.on:
-            core.trace.note("final", query=query_id, outcome=counter, why=reason)
+        if core.trace.enabled:
+            core.trace.record("final", query=query_id, outcome=counter, why=reason)
         if reason:
-            core.reasons[reason] = core.reasons.get(reason, 0) + 1
+            core.reason_counts[reason] = core.reason_counts.get(reason, 0) + 1
         core.counts[counter] += 1
         core.close(query, outcome)
 
--- a/mothnotch/root/attempt.py
+++ b/mothnotch/root/attempt.py
@@ -20,7 +20,7 @@
         "part",
         "number",
         "server",
-        "limit_us",
+        "timeout_us",
         "retry_window_us",
         "dispatched_us",
         "sent_us",
@@ -35,19 +35,19 @@
         part: Part,
         number: int,
         server: str,
-        limit_us: int,
+        timeout_us: int,
         retry_window_us: float = math.inf,
     ):
         """Create an attempt of a part at a server.
 
-        `limit_us`: its timeout. `retry_window_us`: how long after an earlier attempt that may have
-        run this one may still be sent.
+        `retry_window_us`: how long after an earlier attempt that may have run this one may still be
+        sent.
         """
         self.core = core
         self.part = part
         self.number = number
         self.server = server
-        self.limit_us = limit_us
+        self.timeout_us = timeout_us
         self.retry_window_us = retry_window_us
         self.dispatched_us = now_us()
         # When its bytes were sent; until then, when it was dispatched.
@@ -69,7 +69,7 @@
 
         The leaf is told this deadline; it is never later than the client's.
         """
-        return min(self.dispatched_us + self.limit_us, self.part.query.request.deadline_us) / 1e6
+        return min(self.dispatched_us + self.timeout_us, self.part.query.request.deadline_us) / 1e6
 
     @property
     def past_retry_window(self) -> bool:
@@ -98,13 +98,15 @@
 
         `others`: attempts that will be sent together with this one.
         """
-        ahead = sum(other.part.has_begun_sending for other in others)
-        return self.part.has_begun_sending and not self.core.further.may_send(now_us(), ahead)
+        retries_ahead = sum(other.part.has_begun_sending for other in others)
+        return self.part.has_begun_sending and not self.core.retry_budget.may_send(
+            now_us(), retries_ahead
+        )
 
     def on_sending(self):
         """Record that its first byte is about to be sent."""
         if self.part.has_begun_sending:
-            self.core.further.record_sent(now_us())
+            self.core.retry_budget.record_sent(now_us())
         self.part.has_begun_sending = True
 
     def on_sent(self, at_us: int):
@@ -140,14 +142,14 @@
         if self.ended or query.outcome is not None:
             return
         if self.spool is None:
-            self.spool = core.holding.spool(core.room(query))
+            self.spool = core.row_storage.spool(core.storage_of(query))
         try:
             self.spool.add(row, size)
-        except core.holding.error as error:
+        except core.row_storage.error as error:
             core.log.warning(
                 "no memory or disk space for a query's rows", query=query.id, why=str(error)
             )
-            core.query_error(query, query.request.overflow)
+            core.query_error(query, query.request.overflow_error)
 
     def take_rows(self) -> object:
         """Return the rows stored so far and hand them over to the caller."""
@@ -176,8 +178,8 @@
         # fast the leaf answers.
         latency_us = max(0, (now_us() if at_us is None else at_us) - self.sent_us)
         self._record_result(result, rows, latency_us)
-        if core.trace.on:
-            core.trace.note(
+        if core.trace.enabled:
+            core.trace.record(
                 "attempt ended",
                 part=part.id,
                 attempt=self.number,
@@ -188,7 +190,7 @@
             part.sent_us_by_attempt.pop(self.number, None)
         if self.spool is not None:
             self.spool.close()
-        core.table.end_attempt(part, self.number)
+        core.request_table.end_attempt(part, self.number)
         core.post(AttemptEnded(part.id, self.number, self.server, result, latency_us, report))
 
     def _record_result(self, result, rows, latency_us):
--- a/mothnotch/root/core.py
+++ b/mothnotch/root/core.py
@@ -30,7 +30,7 @@
 from mothnotch.root.actions import ActionHandlers
 from mothnotch.root.attempt import Attempt
 from mothnotch.root.clock import now_us
-from mothnotch.root.counters import final_answers, new_counters
+from mothnotch.root.counters import count_final_answers, new_counters
 from mothnotch.root.deadlines import DeadlineGuard
 from mothnotch.root.dispatcher import Dispatcher
 from mothnotch.root.request import Outcome, Request
@@ -40,13 +40,13 @@
 __all__ = ["Attempt", "Core", "OverloadedError", "now_us"]
 
 # Ids of open queries that are logged when a root stops: enough to search the log for.
-MOST_NAMED = 20
+MAX_LOGGED_IDS = 20
 
 
 class Core:
     """The balancer and the state of the requests that it decides on.
 
-    Bounds: `most_queries` open queries, and `most_open` open queries and parts together; beyond
+    Bounds: `max_queries` open queries, and `max_open` open queries and parts together; beyond
     either, `submit` raises OverloadedError.
     """
 
@@ -56,43 +56,43 @@
         seed: object,
         leaves,
         log,
-        most_queries: int = 10_000,
-        holding=None,
-        most_open: float = math.inf,
+        max_queries: int = 10_000,
+        row_storage=None,
+        max_open: float = math.inf,
     ):
         """Assemble a core.
 
-        `leaves.send(server, attempts)` sends attempts. `log` has structlog's methods. `holding`
-        stores the rows of queries; None if the frontend's answers are not rows.
+        `leaves.send(server, attempts)` sends attempts. `log` has structlog's methods.
+        `row_storage` stores the rows of queries; None if the frontend's answers are not rows.
         """
         self.settings = settings
         self.leaves = leaves
         self.log = log
-        self.holding = holding
+        self.row_storage = row_storage
         self.balancer = Balancer(settings, seed)
 
-        self.table = RequestTable(most_queries, most_open)
-        self.queries = self.table.queries
-        self.parts = self.table.parts
+        self.request_table = RequestTable(max_queries, max_open)
+        self.queries = self.request_table.queries
+        self.parts = self.request_table.parts
         self.deadlines = DeadlineGuard(self)
         # Whether deadlines are enforced; switched off only to test the checks of the audit.
-        self.guard = True
+        self.enforce_deadlines = True
         self.dispatcher = Dispatcher(self)
         self.actions = ActionHandlers(self)
         # Maps each kind of action to its handler.
-        self.on = self.actions.by_kind()
+        self.handlers = self.actions.by_kind()
         # Set when the balancer requests the endpoint list, and then replaced by a new event.
-        self.subscribe = trio.Event()
+        self.endpoints_requested = trio.Event()
 
-        self.further = RetryBudget(settings.rules)
+        self.retry_budget = RetryBudget(settings.rules)
         self.slow_start = SlowStartMonitor(settings.rules, self.mean_work_us)
         self.violations = Violations(log.error)
         self.counts = new_counters()
         # Number of rejections and failures by the reason that the balancer gave.
-        self.reasons = {}
+        self.reason_counts = {}
         # CPU clock in seconds, if any, and the CPU time spent in the balancer as measured by it.
-        self.clock = None
-        self.busy_s = 0.0
+        self.cpu_clock = None
+        self.balancer_cpu_s = 0.0
         # Trace of what happens to each query; off unless set.
         self.trace = Trace()
 
@@ -106,23 +106,23 @@
         self,
         request: Request,
         on_final: Callable[[Outcome], None],
-        has_left: Callable[[], bool] | None = None,
+        has_disconnected: Callable[[], bool] | None = None,
     ) -> Query:
         """Accept a request; `on_final(outcome)` is called once, in the turn that decides it.
 
-        `has_left()` checks whether the client has disconnected when that may not have been read
-        yet. Raise OverloadedError if too many queries or parts are open.
+        `has_disconnected()` checks whether the client has disconnected when that may not have been
+        read yet. Raise OverloadedError if too many queries or parts are open.
         """
-        if self.table.is_full:
+        if self.request_table.is_full:
             self.counts["full"] += 1
             raise OverloadedError(
                 f"{len(self.queries)} queries and {len(self.parts)} parts are open"
             )
-        query = self.table.add_query(request, on_final, has_left)
+        query = self.request_table.add_query(request, on_final, has_disconnected)
         self.counts["queries"] += 1
-        self.further.record_admitted(now_us(), len(request.parts))
+        self.retry_budget.record_admitted(now_us(), len(request.parts))
         self._post_arrivals(query)
-        if self.guard:
+        if self.enforce_deadlines:
             self.deadlines.add(request.deadline_us, query.number, query)
         return query
 
@@ -135,14 +135,14 @@
                 query.number,
                 request.class_name,
                 request.tenant,
-                request.key,
+                request.affinity_key,
                 request.deadline_us,
                 request.cost_us,
-                request.repeated,
+                request.is_retry,
             )
         )
         for number, spec in enumerate(request.parts):
-            part = self.table.add_part(query, number, spec)
+            part = self.request_table.add_part(query, number, spec)
             self.post(PartArrived(part.id, query.number, spec.shard, spec.weight, spec.cost_us))
 
     async def execute(self, request: Request) -> Outcome:
@@ -151,10 +151,11 @@
         Raise OverloadedError if it cannot be accepted. If the caller is cancelled, the balancer is
         told that the client disconnected.
         """
-        if self.holding is not None and not self.holding.admit(request.worth):
+        if self.row_storage is not None and not self.row_storage.admit(request.priority_weight):
             self.counts["no_room"] += 1
             raise OverloadedError(
-                "memory or disk is full with the rows of other queries", self.holding.retry_after_us
+                "memory or disk is full with the rows of other queries",
+                self.row_storage.retry_after_us,
             )
         done = trio.Event()
         query = self.submit(request, lambda outcome: done.set())
@@ -162,8 +163,8 @@
             await done.wait()
         except BaseException:
             # The query may have been answered, but its answer will not be read.
-            if query.room is not None:
-                query.room.close()
+            if query.storage is not None:
+                query.storage.close()
             raise
         finally:
             self.client_disconnected(query)
@@ -172,7 +173,7 @@
     def shorten_deadline(self, query: Query, at_us: int):
         """End a query by `at_us` at the latest, because other requests wait for its answer."""
         if query.outcome is None and at_us < query.request.deadline_us:
-            self.deadlines.add(at_us, self.table.next_number(), query)
+            self.deadlines.add(at_us, self.request_table.next_number(), query)
             self.dispatcher.wake()
 
     def client_disconnected(self, query: Query):
@@ -187,8 +188,8 @@
 
         If the two numbers differ when a root stops, a query was left unanswered.
         """
-        open_ids = list(itertools.islice(self.queries, MOST_NAMED))
-        return self.counts["queries"], final_answers(self.counts), open_ids
+        open_ids = list(itertools.islice(self.queries, MAX_LOGGED_IDS))
+        return self.counts["queries"], count_final_answers(self.counts), open_ids
 
     # ---- called by leaf connections and discovery ----
 
@@ -207,11 +208,11 @@
             self.counts["faults"] += 1
             self.close_undecided(query, Outcome(FinalStatus.ANSWERED, error=error))
 
-    def room(self, query: Query) -> object:
+    def storage_of(self, query: Query) -> object:
         """Return the storage for a query's rows, created on the first call."""
-        if query.room is None:
-            query.room = self.holding.room(query.id, query.request.worth)
-        return query.room
+        if query.storage is None:
+            query.storage = self.row_storage.room(query.id, query.request.priority_weight)
+        return query.storage
 
     # ---- called by the other modules of this package ----
 
@@ -223,12 +224,12 @@
             late_s < FINAL_ANSWER_SLACK_S, Invariant.FINAL_LATE, query=query.id, late_s=late_s
         )
         query.outcome = outcome
-        if query.room is not None:
-            if outcome.final is FinalStatus.ANSWERED and outcome.error is None:
-                outcome.room = query.room
+        if query.storage is not None:
+            if outcome.status is FinalStatus.ANSWERED and outcome.error is None:
+                outcome.storage = query.storage
             else:
-                query.room.close()
-        self.table.close(query)
+                query.storage.close()
+        self.request_table.close(query)
         query.on_final(outcome)
 
     def close_undecided(self, query: Query, outcome: Outcome):
@@ -237,9 +238,9 @@
         self.post(ClientDisconnected(query.id))
 
     def request_endpoints(self):
-        """Wake the tasks that wait on `subscribe`."""
-        self.subscribe.set()
-        self.subscribe = trio.Event()
+        """Wake the tasks that wait on `endpoints_requested`."""
+        self.endpoints_requested.set()
+        self.endpoints_requested = trio.Event()
 
     def mean_work_us(self) -> float:
         """Return the balancer's estimate of the mean work of a part, including that of its call."""
--- a/mothnotch/root/counters.py
+++ b/mothnotch/root/counters.py
@@ -19,7 +19,7 @@
 )
 
 # Each accepted query is counted in exactly one of these.
-FINAL_ANSWERS = (
+FINAL_ANSWER_COUNTERS = (
     "answered",
     "refused",
     "failed",
@@ -36,6 +36,6 @@
     return dict.fromkeys(COUNTERS, 0)
 
 
-def final_answers(counts: dict[str, int]) -> int:
+def count_final_answers(counts: dict[str, int]) -> int:
     """Return the number of queries that have had their final answer."""
-    return sum(counts[name] for name in FINAL_ANSWERS)
+    return sum(counts[name] for name in FINAL_ANSWER_COUNTERS)
--- a/mothnotch/root/dispatcher.py
+++ b/mothnotch/root/dispatcher.py
@@ -79,36 +79,36 @@
         if not events:
             return
         core.counts["turns"] += 1
-        actions, failed = self._decide(events)
-        sends = core.actions.sends
+        actions, failed_queries = self._decide(events)
+        pending_sends = core.actions.pending_sends
         for action in actions:
-            self._contain_errors(core.on[type(action)], action)
-        for query in failed:
+            self._contain_errors(core.handlers[type(action)], action)
+        for query in failed_queries:
             if query.outcome is None:
                 core.counts["broken"] += 1
                 core.close_undecided(query, query.undecided_outcome())
-        core.table.release_closed()
-        for server, attempts in sends.items():
+        core.request_table.release_closed()
+        for server, attempts in pending_sends.items():
             if attempts:
                 self._contain_errors(core.leaves.send, server, attempts)
-        sends.clear()
+        pending_sends.clear()
 
     def _decide(self, events):
         """Return the balancer's actions, and the queries that an error in it affected."""
         core = self._core
-        began_s = core.clock() if core.clock else 0
+        started_s = core.cpu_clock() if core.cpu_clock else 0
         remaining = iter(events)
-        failed = ()
+        failed_queries = ()
         try:
             actions = core.balancer.handle(self.now_us, remaining)
         except Exception as error:
             # A defect must fail the query that triggered it, not every open query of this root.
             core.log.error("unexpected error in the balancer", error=repr(error), exc_info=True)
             actions = core.balancer.actions
-            failed = self._queries_met(events, list(remaining))
-        if core.clock:
-            core.busy_s += core.clock() - began_s
-        return actions, failed
+            failed_queries = self._affected_queries(events, list(remaining))
+        if core.cpu_clock:
+            core.balancer_cpu_s += core.cpu_clock() - started_s
+        return actions, failed_queries
 
     def _contain_errors(self, step, *args):
         """Run one step of a turn; log an error in it, and continue the turn.
@@ -121,7 +121,7 @@
         except Exception as error:
             self._core.log.error("unexpected error in a turn", error=repr(error), exc_info=True)
 
-    def _queries_met(self, events, remaining) -> list[Query]:
+    def _affected_queries(self, events, remaining) -> list[Query]:
         """Return the queries affected by an error in the balancer; queue the remaining events.
 
         These are the query of the event that failed, and the queries that arrived in this turn, as
@@ -132,17 +132,17 @@
         # The balancer failed before it could set its timer for the next turn.
         self.set_timer(core.settings.tick_us)
         handled = events[: len(events) - len(remaining)]
-        found = {}
+        affected = {}
         for event in handled:
             if event is handled[-1] or type(event) in (QueryArrived, PartArrived):
                 query = self._query_of(event)
                 if query is not None:
-                    found[query.id] = query
-        return list(found.values())
+                    affected[query.id] = query
+        return list(affected.values())
 
     def _query_of(self, event):
         """Return the open query that an event concerns, or None."""
-        table = self._core.table
+        table = self._core.request_table
         query = table.queries.get(getattr(event, "query", None))
         if query is not None:
             return query
--- a/mothnotch/root/endpoint_file.py
+++ b/mothnotch/root/endpoint_file.py
@@ -18,7 +18,7 @@
 # finds no change costs one stat.
 POLL_S = 0.1
 # Size limit of the file: a path set by mistake must not fill the root's memory.
-MOST_FILE_BYTES = 8 << 20
+MAX_FILE_BYTES = 8 << 20
 
 
 class EndpointSource(Protocol):
@@ -34,22 +34,24 @@
     def __init__(self, path: str | os.PathLike):
         """Read the file at this path, which need not exist yet."""
         self.path = path
-        self._last_mark = None
+        self._last_signature = None
 
     def read_changed(self) -> str | None:
         """Return the file's text if the file has changed since it was last read, else None.
 
-        Raise OSError if it cannot be read or is larger than MOST_FILE_BYTES.
+        Raise OSError if it cannot be read or is larger than MAX_FILE_BYTES.
         """
         stat = os.stat(self.path)
-        mark = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
-        if mark == self._last_mark:
+        signature = (stat.st_mtime_ns, stat.st_size, stat.st_ino)
+        if signature == self._last_signature:
             return None
-        if stat.st_size > MOST_FILE_BYTES:
-            raise OSError(f"{self.path} has {stat.st_size} bytes; the limit is {MOST_FILE_BYTES}")
+        if stat.st_size > MAX_FILE_BYTES:
+            raise OSError(
+                f"{self.path} has {stat.st_size} bytes; the limit is {MAX_FILE_BYTES} bytes"
+            )
         with open(self.path, encoding="utf-8", errors="replace") as file:
             text = file.read()
-        self._last_mark = mark
+        self._last_signature = signature
         return text
 
 
@@ -84,7 +86,7 @@
         # Number of lists applied so far.
         self.version = 0
         self._entries = []
-        self._starts = StartTimes(now_us(), network.wall())
+        self._start_times = StartTimes(now_us(), network.wall())
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         """Run until cancelled; report the task as started after the first poll."""
@@ -133,7 +135,7 @@
             {leaf.name for leaf in entries if leaf.state != "up"},
         )
         self.core.on_watch_event(
-            endpoint_list.watch_event(entries, self.version, now_us(), self._starts)
+            endpoint_list.watch_event(entries, self.version, now_us(), self._start_times)
         )
         self.log.info(
             "roster",
--- a/mothnotch/root/request.py
+++ b/mothnotch/root/request.py
@@ -24,21 +24,21 @@
 class Request:
     """One query of a client.
 
-    `key`: requests with the same key go to the same home leaves. `deadline_us`: the client's
-    deadline on the root's clock.
+    `affinity_key`: requests with the same key go to the same home leaves. `deadline_us`: the
+    client's deadline on the root's clock.
     """
 
     class_name: str
     tenant: str | None
-    key: str | None
+    affinity_key: str | None
     deadline_us: int
     parts: tuple[PartSpec, ...]
     # The client states that this is a retry.
-    repeated: bool = False
+    is_retry: bool = False
     # Priority weight relative to the usual one: determines how much memory its rows may use.
-    worth: float = 1.0
+    priority_weight: float = 1.0
     # The frontend's error to answer with if neither memory nor disk has space for its rows.
-    overflow: object = None
+    overflow_error: object = None
 
     @property
     def cost_us(self) -> int | None:
@@ -54,7 +54,7 @@
     ANSWERED has either `rows` by part number, or `error`, which the query itself caused.
     """
 
-    final: FinalStatus
+    status: FinalStatus
     complete: bool = False
     # REJECTED: microseconds after which the client may retry; 0: no advice.
     retry_after_us: int = 0
@@ -70,4 +70,4 @@
     # Part number -> (leaf, microseconds between the leaf's answer and this outcome).
     sources: dict[int, tuple[str, int]] = field(default_factory=dict)
     # ANSWERED: the storage of the rows; the reader of the rows closes it.
-    room: object = None
+    storage: object = None
--- a/mothnotch/root/request_table.py
+++ b/mothnotch/root/request_table.py
@@ -27,7 +27,7 @@
     spec: PartSpec
     query: "Query"
     # Number of attempts so far, which is also the number of the next one.
-    sends: int = 0
+    attempt_count: int = 0
     # Attempts in flight, by number.
     in_flight: dict[int, object] = field(default_factory=dict)
     # Send times of the attempts that may have run, by number.
@@ -43,7 +43,7 @@
     # Whether sending of any of its attempts has begun.
     has_begun_sending: bool = False
     # Whether a COMMIT was sent for it, so that it may have taken effect.
-    committing: bool = False
+    commit_sent: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -56,33 +56,33 @@
     # Called once with the outcome, in the turn that decides it.
     on_final: Callable[[Outcome], None]
     # Checks whether the client has disconnected when that may not have been read yet.
-    has_left: Callable[[], bool] = lambda: False
+    has_disconnected: Callable[[], bool] = lambda: False
     parts: list[Part] = field(default_factory=list)
     outcome: Outcome | None = None
     # The storage of its rows; None before the first row.
-    room: object = None
+    storage: object = None
     # Whether the balancer knows that the query has ended, so that it sends no new attempts.
     released: bool = False
 
     def undecided_outcome(self) -> Outcome:
         """Return the final answer if the balancer decided none: rejected if nothing was sent."""
-        ran = any(part.sends for part in self.parts)
+        ran = any(part.attempt_count for part in self.parts)
         return Outcome(FinalStatus.FAILED if ran else FinalStatus.REJECTED, may_have_run=ran)
 
 
 class RequestTable:
     """The open queries and parts by id, and the queries closed in the current turn.
 
-    Bounds: `most_queries` queries, and `most_open` queries and parts together. A part outlives its
+    Bounds: `max_queries` queries, and `max_open` queries and parts together. A part outlives its
     query while an attempt of it is in flight, and counts towards the bound until then.
     """
 
-    def __init__(self, most_queries: int, most_open: float):
+    def __init__(self, max_queries: int, max_open: float):
         """Create an empty table with these bounds."""
         self.queries = {}
         self.parts = {}
-        self._most_queries = most_queries
-        self._most_open = most_open
+        self._max_queries = max_queries
+        self._max_open = max_open
         self._numbers = itertools.count(1)
         self._closed = []
 
@@ -94,21 +94,21 @@
     def is_full(self) -> bool:
         """Whether the table accepts no more queries."""
         return (
-            len(self.queries) >= self._most_queries
-            or len(self.queries) + len(self.parts) >= self._most_open
+            len(self.queries) >= self._max_queries
+            or len(self.queries) + len(self.parts) >= self._max_open
         )
 
     def add_query(
         self,
         request: Request,
         on_final: Callable[[Outcome], None],
-        has_left: Callable[[], bool] | None = None,
+        has_disconnected: Callable[[], bool] | None = None,
     ) -> Query:
         """Add an open query, without its parts."""
         number = self.next_number()
         query = Query(f"q{number}", number, request, on_final)
-        if has_left is not None:
-            query.has_left = has_left
+        if has_disconnected is not None:
+            query.has_disconnected = has_disconnected
         self.queries[query.id] = query
         return query
 
--- a/mothnotch/root/trace.py
+++ b/mothnotch/root/trace.py
@@ -35,11 +35,11 @@
         return cls(os.environ.get(PATH_VARIABLE))
 
     @property
-    def on(self) -> bool:
+    def enabled(self) -> bool:
         """Whether events are recorded; callers check it before they collect an event's fields."""
         return self._output is not None
 
-    def note(self, kind: str, **fields):
+    def record(self, kind: str, **fields):
         """Record one event."""
         if self._output is None:
             return
