--- a/mothnotch/root/dispatcher.py
+++ b/mothnotch/root/dispatcher.py
@@ -14,7 +14,7 @@
 from mothnotch.root.clock import now_us
 from mothnotch.root.request_table import Query
 
-# Delays each timer slightly: the balancer ignores a timer that fires before its time.
+# Delays each timer slightly: one that fires early does nothing, and the balancer sets no other.
 TIMER_SLACK_US = 2
 
 
