--- a/mothnotch/badday/fleet.py
+++ b/mothnotch/badday/fleet.py
@@ -340,9 +340,9 @@
             wait = max(0.0, *(self.paused.get(n, 0.0) - trio.current_time() for n in (a, b)))
             return tuple(delay + wait for delay in fates(a, b))
 
-        passes = self.day.network.passes
+        passes = self.day.network.may_connect
         links.fates = held
-        self.day.network.passes = lambda host, target: passes(host, target) and not any(
+        self.day.network.may_connect = lambda host, target: passes(host, target) and not any(
             links.numbers.get(a.partition(":")[0]) in self.paused for a in (host, target)
         )
         for n in range(self.script.roots):
@@ -406,8 +406,8 @@
 
     async def begin(self, life):
         for n in range(self.script.roots):  # a port of each root's, free for datagrams and streams
-            box = await self.day.network.datagrams(f"{root_host(n)}:0")
-            self.targets[n] = box.name
+            box = await self.day.network.bind_datagrams(f"{root_host(n)}:0")
+            self.targets[n] = box.address
             box.close()
         self.relays = Relays(self.day.links, self.day.network, self.targets)
         await life.start(self.relays.run)
--- a/mothnotch/badday/links.py
+++ b/mothnotch/badday/links.py
@@ -19,7 +19,7 @@
 
 import trio
 
-from mothnotch.net import CONNECTION_LOST_ERRORS, shut
+from mothnotch.net import CONNECTION_LOST_ERRORS, close_now
 
 DATAGRAMS, STREAMS = 4096, 256
 CHUNK = 1 << 16
@@ -73,14 +73,16 @@
     def attach(self, network):
         """Makes a MemoryNetwork ask here."""
         number = lambda address: self.numbers.get(address.rpartition(":")[0] or address)  # noqa: E731
-        network.fate = lambda source, target: self.fates(number(source), number(target))
+        network.datagram_delays_s = lambda source, target: self.fates(
+            number(source), number(target)
+        )
 
         def passes(host, target):
             a, b = number(host), number(target)
             link, back = self.links.get((a, b)), self.links.get((b, a))
             return link is None or not (link.cut or back.cut)
 
-        network.passes = passes
+        network.may_connect = passes
 
 
 class StreamRelay:
@@ -98,7 +100,7 @@
             stream = await listener.accept()
             found = pair(stream)
             if found is None or sum(map(len, self.live.values())) >= 2 * STREAMS:
-                shut(stream)
+                close_now(stream)
             else:
                 nursery.start_soon(self.relay, stream, *found)
 
@@ -118,9 +120,9 @@
             pass
         finally:
             live -= {stream, other}
-            shut(stream)
+            close_now(stream)
             if other is not None:
-                shut(other)
+                close_now(other)
 
     def reset(self, key):
         """Ends what stands, on both sides at once, with a reset where the network has such."""
@@ -129,7 +131,7 @@
                 stream.socket.setsockopt(
                     socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
                 )
-            shut(stream)
+            close_now(stream)
 
     async def passing(self, *links):
         while any(link.cut for link in links):
@@ -172,15 +174,15 @@
         self.boxes, self.on_way, self.streams = {}, 0, StreamRelay(network, links.random)
 
     def address(self, a, b):
-        return self.boxes[a, b].name
+        return self.boxes[a, b].address
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         async with trio.open_nursery() as self.nursery:
             for a, b in self.links.links:
                 while (a, b) not in self.boxes:
-                    box = await self.network.datagrams(f"{self.host}:0")
+                    box = await self.network.bind_datagrams(f"{self.host}:0")
                     try:
-                        listeners = await self.network.listen(box.name)
+                        listeners = await self.network.listen(box.address)
                     except OSError:  # that port is taken for streams: another
                         box.close()
                         continue
@@ -237,7 +239,7 @@
         async with trio.open_nursery() as nursery:
             for key in self.there:
                 (listener,) = await self.network.listen(f"{self.host}:0")
-                self.addresses[key] = self.network.name(listener)
+                self.addresses[key] = self.network.bound_address(listener)
                 nursery.start_soon(self.streams.accept, listener, partial(self.pair, key), nursery)
             task_status.started(self)
             await trio.sleep_forever()
--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -201,11 +201,11 @@
         for leaf in self.each(names):
             leaf.trouble.hang = True
             if isinstance(self.network, MemoryNetwork):
-                self.network.unreachable.add(leaf.s.address)
+                self.network.unreachable_addresses.add(leaf.s.address)
         await trio.sleep(t.lasts)
         for name, leaf in zip(names, self.each(names), strict=True):
             if isinstance(self.network, MemoryNetwork):
-                self.network.unreachable.discard(leaf.s.address)
+                self.network.unreachable_addresses.discard(leaf.s.address)
             leaf.stop()
             while leaf.up:
                 await trio.sleep(0.01)
@@ -246,7 +246,7 @@
         for leaf in self.each(names):
             leaf.trouble.hang = True
             if isinstance(self.network, MemoryNetwork):
-                self.network.unreachable.add(leaf.s.address)
+                self.network.unreachable_addresses.add(leaf.s.address)
         await trio.sleep(0.2)
         for name, leaf in zip(names, self.each(names), strict=True):
             leaf.stop()
--- a/mothnotch/consul/agent.py
+++ b/mothnotch/consul/agent.py
@@ -10,7 +10,7 @@
 import h11
 import trio
 
-from mothnotch.net import shut
+from mothnotch.net import close_now
 
 # Bytes of one read from the socket.
 READ_BYTES = 1 << 16
@@ -60,7 +60,7 @@
     def close(self) -> None:
         """Close the connection, if there is one; the next request opens a new one."""
         if self.stream is not None:
-            shut(self.stream)
+            close_now(self.stream)
         self.stream = None
         self.http = None
 
@@ -72,7 +72,7 @@
         Cancellation closes the connection, since its pending response would otherwise be taken for
         that of the next request.
         """
-        is_reusable = self.stream is not None and not self.network.lost(self.stream)
+        is_reusable = self.stream is not None and not self.network.is_stale(self.stream)
         try:
             if not is_reusable:
                 self.close()
--- a/mothnotch/consul/doubt_resolver.py
+++ b/mothnotch/consul/doubt_resolver.py
@@ -90,5 +90,5 @@
 
     def _resolve(self, requested_us, answers, complete):
         return self._membership.resolve_doubt(
-            now_us(), self._network.wall(), requested_us, answers, complete
+            now_us(), self._network.wall_time(), requested_us, answers, complete
         )
--- a/mothnotch/consul/inspect_agents.py
+++ b/mothnotch/consul/inspect_agents.py
@@ -81,7 +81,7 @@
 def _instance_lines(settings, network, answer):
     """Return a line for each instance: its listed state and the state that a root derives."""
     membership = LeafMembership(settings)
-    membership.on_answer(now_us(), network.wall(), answer)
+    membership.on_answer(now_us(), network.wall_time(), answer)
     states = membership.effective_states()
     lines = []
     for instance in answer.instances:
--- a/mothnotch/consul/list_cache.py
+++ b/mothnotch/consul/list_cache.py
@@ -16,12 +16,12 @@
 
     async def restore(self, membership: LeafMembership) -> bool:
         """Restore the membership from the list on disk; return whether there was a usable one."""
-        leaves, index, saved_s, problem = await self._network.work(self._store.load)
+        leaves, index, saved_s, problem = await self._network.run_in_thread(self._store.load)
         if problem:
             self._log.error("problem with the list cached on disk", wrong=problem)
         if leaves is None:
             return False
-        age_s = self._network.wall() - saved_s
+        age_s = self._network.wall_time() - saved_s
         if age_s > self._max_age_s:
             self._log.error(
                 "the list cached on disk is too old; it is not used",
@@ -34,17 +34,17 @@
             age_s=round(max(0.0, age_s)),
             leaves=len(leaves),
         )
-        membership.restore(leaves, index, now_us(), self._network.wall())
+        membership.restore(leaves, index, now_us(), self._network.wall_time())
         return True
 
     async def save(self, membership: LeafMembership) -> None:
         """Save the membership's list."""
         try:
-            await self._network.work(
+            await self._network.run_in_thread(
                 self._store.save,
-                membership.leaves_to_cache(now_us(), self._network.wall()),
+                membership.leaves_to_cache(now_us(), self._network.wall_time()),
                 membership.index,
-                self._network.wall(),
+                self._network.wall_time(),
             )
         except OSError as error:
             self._log.error("the list cannot be saved to disk", error=str(error))
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -213,7 +213,7 @@
         if is_same and not self._failure_notified and not self.membership.is_unsynced:
             # The blocking query timed out without a change.
             return
-        if self.membership.on_answer(now_us(), self.network.wall(), answer):
+        if self.membership.on_answer(now_us(), self.network.wall_time(), answer):
             self._merged_digest = digest
         self.publish()
         if self.membership.doubt:
--- a/mothnotch/daemon.py
+++ b/mothnotch/daemon.py
@@ -95,7 +95,7 @@
         generator = Random(self._random(SEED_BYTES))
         # Of two incarnations the later one has the higher number, as far as wall clocks go; the
         # membership corrects the rest.
-        incarnation = (int(self.network.wall() * 1000), generator.getrandbits(32))
+        incarnation = (int(self.network.wall_time() * 1000), generator.getrandbits(32))
         return PeerService(
             self.network,
             self.log,
@@ -165,7 +165,7 @@
         """Return what the root's own entry in the catalogue states for its peers."""
         if self.peers is None:
             return {}
-        return {ADDRESS_META_KEY: self.config.peers.address or self.peers.socket.name}
+        return {ADDRESS_META_KEY: self.config.peers.address or self.peers.socket.address}
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
         """Serve until cancelled; started once every address listens and the list was read.
@@ -180,7 +180,7 @@
                 listeners = []
                 for address in self.config.listen:
                     listeners += await self.network.listen(address)
-                self.addresses = [self.network.name(listener) for listener in listeners]
+                self.addresses = [self.network.bound_address(listener) for listener in listeners]
                 nursery.start_soon(self.front.run, listeners, nursery)
                 if self.peers is not None:
                     await nursery.start(self.peers.run)
--- a/mothnotch/fronts/pg.py
+++ b/mothnotch/fronts/pg.py
@@ -9,7 +9,7 @@
 import trio
 
 from mothnotch.fronts.session import REPORTED, Session, Stream, duration_ms
-from mothnotch.net import serve, shut
+from mothnotch.net import close_now, serve
 from mothnotch.pgwire import auth
 from mothnotch.pgwire import backend as b
 from mothnotch.pgwire import server as wire
@@ -155,7 +155,7 @@
             if self.session is not None:
                 front.clients.pop(self.session.pid, None)
             self.drop_portals()
-            shut(self.stream)
+            close_now(self.stream)
 
     async def farewell(self, sqlstate, text):
         """A last error, as far as the client still takes it."""
@@ -335,7 +335,7 @@
         """
         if self.front.service.planner.cheap(text, *declared):
             return plan(text, *declared)
-        return await self.front.network.work(plan, text, *declared)
+        return await self.front.network.run_in_thread(plan, text, *declared)
 
     def check_together(self, plans):
         """Several statements in one query text are one transaction to PostgreSQL: a write among
@@ -577,7 +577,7 @@
 
     async def turn_away(self, stream):
         await Client(self, stream).farewell("53300", "sorry, too many clients already")
-        shut(stream)
+        close_now(stream)
 
     async def run(self, listeners, nursery):
         await serve(
--- a/mothnotch/leaves/pool.py
+++ b/mothnotch/leaves/pool.py
@@ -22,7 +22,7 @@
 from mothnotch.leaves.read_exchange import ReadExchange
 from mothnotch.leaves.timeouts import Timeouts
 from mothnotch.leaves.write_exchange import WriteExchange
-from mothnotch.net import CONNECTION_LOST_ERRORS, shut
+from mothnotch.net import CONNECTION_LOST_ERRORS, close_now
 from mothnotch.pgwire import client
 from mothnotch.pgwire.framing import ProtocolError
 
@@ -164,7 +164,7 @@
         """Return an idle connection that is still connected, the one used last; or None."""
         while leaf.idle:
             connection = leaf.idle[-1]
-            if not self.network.lost(connection.stream):
+            if not self.network.is_stale(connection.stream):
                 leaf.idle.pop()
                 return connection
             self.connection_lost(connection)
@@ -208,7 +208,7 @@
         if connection.dead:
             return
         self._remove(connection)
-        shut(connection.stream)
+        close_now(connection.stream)
         if connection.call is not None:
             call = connection.call
             connection.call = None
@@ -236,7 +236,7 @@
         connection.call = None
         self._remove(connection)
         if connection.pid is None or call.leaf.cancels_in_flight >= self.settings.cancels:
-            shut(connection.stream)
+            close_now(connection.stream)
         else:
             self.nursery.start_soon(self._request_cancel, call.leaf, connection)
 
@@ -300,7 +300,7 @@
         self.counts["connects_failed"] += 1
         leaf.own.last_failed_us = int(trio.current_time() * 1e6)
         if connection is not None:
-            shut(connection.stream)
+            close_now(connection.stream)
 
     async def _request_cancel(self, leaf, connection):
         """Ask the leaf to stop what runs on a connection, and close it.
@@ -320,9 +320,9 @@
             pass
         finally:
             leaf.cancels_in_flight -= 1
-            shut(connection.stream)
+            close_now(connection.stream)
             if stream is not None:
-                shut(stream)
+                close_now(stream)
 
     async def _sweep(self):
         """Close connections that nobody used for long."""
--- a/mothnotch/net/__init__.py
+++ b/mothnotch/net/__init__.py
@@ -2,7 +2,7 @@
 
 A `Network` opens and listens; addresses are text: `host:port`, `[v6]:port` or `unix:/path`. Time is
 trio's own (`trio.current_time`, in seconds), so a virtual clock needs nothing here but the wall
-clock of the same run. `datagrams(address)` returns an object with `name`, `receive(most)`,
+clock of the same run. `bind_datagrams(address)` returns an object with `address`, `receive(most)`,
 `send(address, data)` and `close()`: a send never waits, and what cannot be sent is lost, as any
 datagram may be.
 
@@ -12,20 +12,20 @@
 
 from mothnotch.net.addresses import AddressError, parse_address
 from mothnotch.net.arrival_clock import ArrivalClock
-from mothnotch.net.datagrams import Datagrams
+from mothnotch.net.datagrams import DatagramSocket
 from mothnotch.net.errors import CONNECTION_LOST_ERRORS, RETRY_PAUSE_S
 from mothnotch.net.serving import serve
-from mothnotch.net.sockets import Listener, SocketNetwork, shut
+from mothnotch.net.sockets import Listener, SocketNetwork, close_now
 
 __all__ = [
     "CONNECTION_LOST_ERRORS",
     "RETRY_PAUSE_S",
     "AddressError",
     "ArrivalClock",
-    "Datagrams",
+    "DatagramSocket",
     "Listener",
     "SocketNetwork",
     "parse_address",
     "serve",
-    "shut",
+    "close_now",
 ]
--- a/mothnotch/net/arrival_clock.py
+++ b/mothnotch/net/arrival_clock.py
@@ -89,7 +89,7 @@
             self._learn(min(drifted_s, now_s - stamp_s), now_s)
         return arrived_s
 
-    def unseen_s(self) -> float:
+    def max_unread_age_s(self) -> float:
         """Return for how many seconds something may have lain unread.
 
         That is since sockets were last looked at, or between the last looks, as what they showed
@@ -99,7 +99,7 @@
             trio.current_time() - self.last_pass_s, self.last_pass_s - self.third_last_pass_s
         )
 
-    def earliest(self, last_s: float) -> float:
+    def earliest_arrival(self, last_s: float) -> float:
         """Return when the first of some data came at the earliest, whose last came at `last_s`.
 
         The kernel stamps the last only. It came at once after the rest, unless the root was stalled
--- a/mothnotch/net/datagrams.py
+++ b/mothnotch/net/datagrams.py
@@ -8,7 +8,7 @@
 from mothnotch.net.errors import RETRY_PAUSE_S
 
 
-class Datagrams:
+class DatagramSocket:
     """A UDP socket over IPv4."""
 
     def __init__(self, sock):
@@ -16,7 +16,7 @@
         self._socket = sock
 
     @property
-    def name(self) -> str:
+    def address(self) -> str:
         """The address it is bound to, as host:port."""
         host, port = self._socket.getsockname()[:2]
         return f"{host}:{port}"
--- a/mothnotch/net/line_output.py
+++ b/mothnotch/net/line_output.py
@@ -20,7 +20,7 @@
 # What a pipe takes as a whole or not at all, in bytes.
 PIPE_BUF = select.PIPE_BUF
 # Text without a line end that a LineStream keeps, in bytes.
-UNFINISHED_MOST = 1 << 16
+MAX_UNFINISHED_CHARS = 1 << 16
 
 
 class LineOutput:
@@ -101,7 +101,7 @@
         *lines, self._unfinished = (self._unfinished + text).split("\n")
         for line in lines:
             self._output.write(f"{line}\n".encode(errors="backslashreplace"))
-        self._unfinished = self._unfinished[:UNFINISHED_MOST]
+        self._unfinished = self._unfinished[:MAX_UNFINISHED_CHARS]
         return len(text)
 
 
--- a/mothnotch/net/memory.py
+++ b/mothnotch/net/memory.py
@@ -113,9 +113,9 @@
     async def send_eof(self) -> None:
         """End the sending direction."""
         await trio.lowlevel.checkpoint()
-        self.end()
+        self.send_eof_now()
 
-    def end(self) -> None:
+    def send_eof_now(self) -> None:
         """End the sending direction, without a checkpoint."""
         self.peer.ended = True
         self.peer._wake()
@@ -146,26 +146,30 @@
     return ours, theirs
 
 
-class MemoryDatagrams:
+class MemoryDatagramSocket:
     """Datagrams at one address: at most `limit` are on their way to it, more are lost."""
 
-    def __init__(self, network: "MemoryNetwork", name: str, limit: int = _DATAGRAM_LIMIT):
+    def __init__(self, network: "MemoryNetwork", address: str, limit: int = _DATAGRAM_LIMIT):
         """Receive at an address of that network; the caller enters it there."""
         self.network = network
-        self.name = name
+        self.address = address
         self.limit = limit
         # By time of arrival: (seconds, order of sending, data, sender's address).
         self.heap = []
         self._order = itertools.count()
         self._changed = trio.Event()
 
-    def send(self, address: str, data: bytes) -> None:
-        """Send as many copies as the network's `fate` says; to nobody, it is lost."""
-        target = self.network.boxes.get(address)
-        for delay_s in self.network.fate(self.name, address) if target is not None else ():
+    def send(self, target_address: str, data: bytes) -> None:
+        """Send as many copies as the network's `datagram_delays_s` says; to nobody, it is lost."""
+        target = self.network.datagram_sockets.get(target_address)
+        for delay_s in (
+            self.network.datagram_delays_s(self.address, target_address)
+            if target is not None
+            else ()
+        ):
             if len(target.heap) < target.limit:
                 arrives_s = trio.current_time() + delay_s
-                heapq.heappush(target.heap, (arrives_s, next(target._order), data, self.name))
+                heapq.heappush(target.heap, (arrives_s, next(target._order), data, self.address))
                 target._changed.set()
 
     async def receive(self, most: int) -> tuple[bytes, str]:
@@ -175,19 +179,19 @@
             self._changed = trio.Event()
             with trio.move_on_at(self.heap[0][0] if self.heap else math.inf):
                 await self._changed.wait()
-        _, _, data, address = heapq.heappop(self.heap)
-        return data[:most], address
+        _, _, data, source_address = heapq.heappop(self.heap)
+        return data[:most], source_address
 
     def close(self) -> None:
         """Free the address."""
-        if self.network.boxes.get(self.name) is self:
-            del self.network.boxes[self.name]
+        if self.network.datagram_sockets.get(self.address) is self:
+            del self.network.datagram_sockets[self.address]
 
 
 class MemoryNetwork:
     """Streams and datagrams in memory, addresses as names: for the virtual clock.
 
-    Set `fate`, `passes` and `unreachable` to disturb it.
+    Set `datagram_delays_s`, `may_connect` and `unreachable_addresses` to disturb it.
     """
 
     def __init__(self, started: float = 1_800_000_000.0, backlog: int = 1024):
@@ -195,16 +199,16 @@
         self.started = started
         self.backlog = backlog
         self.listeners = {}
-        self.boxes = {}
+        self.datagram_sockets = {}
         # The delays, in seconds, with which copies of a datagram arrive; none: it is lost.
-        self.fate = lambda source, target: (_DATAGRAM_DELAY_S,)
+        self.datagram_delays_s = lambda source, target: (_DATAGRAM_DELAY_S,)
         # Whether a stream from a host, where one is named, is connected.
-        self.passes = lambda host, target: True
+        self.may_connect = lambda host, target: True
         # Addresses whose connects get no answer at all.
-        self.unreachable = set()
+        self.unreachable_addresses = set()
         self._next_port = 40000
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Return the wall clock's reading, in seconds."""
         return self.started + trio.current_time()
 
@@ -214,7 +218,11 @@
         Wait forever for an address that is unreachable, or from `source`.
         """
         await trio.lowlevel.checkpoint()
-        if address in self.unreachable or source is not None and not self.passes(source, address):
+        if (
+            address in self.unreachable_addresses
+            or source is not None
+            and not self.may_connect(source, address)
+        ):
             await trio.sleep_forever()
         listener = self.listeners.get(address)
         if listener is None:
@@ -233,23 +241,23 @@
         self.listeners[address] = MemoryListener(self, address)
         return [self.listeners[address]]
 
-    async def datagrams(self, address: str) -> MemoryDatagrams:
+    async def bind_datagrams(self, address: str) -> MemoryDatagramSocket:
         """Return datagrams at an address; port 0 picks a port. Raise OSError if it is in use."""
         await trio.lowlevel.checkpoint()
-        address = self._free_address(address, self.boxes)
-        self.boxes[address] = MemoryDatagrams(self, address)
-        return self.boxes[address]
+        address = self._free_address(address, self.datagram_sockets)
+        self.datagram_sockets[address] = MemoryDatagramSocket(self, address)
+        return self.datagram_sockets[address]
 
-    def name(self, listener: MemoryListener) -> str:
+    def bound_address(self, listener: MemoryListener) -> str:
         """Return the address that a listener really has."""
         return listener.address
 
-    async def work(self, function: Callable, *args):
+    async def run_in_thread(self, function: Callable, *args):
         """Return what the function returns; it runs at once, in no thread."""
         await trio.lowlevel.checkpoint()
         return function(*args)
 
-    def prepare(self, stream: MemoryStream) -> None:
+    def configure_stream(self, stream: MemoryStream) -> None:
         """Do nothing: a stream in memory is ready for `receive`."""
 
     async def receive(self, stream: MemoryStream, most: int) -> tuple[bytes, float]:
@@ -260,19 +268,19 @@
         """Return at most `most` bytes of what is there, b"" at the end, None if nothing is."""
         return stream.receive_now(most)
 
-    def unseen_s(self) -> float:
+    def max_unread_age_s(self) -> float:
         """Return 0: nothing lies unread longer than it takes to read it."""
         return 0.0
 
-    def earliest(self, last_s: float) -> float:
+    def earliest_arrival(self, last_s: float) -> float:
         """Return when the first of some data came whose last came at `last_s`: the same time."""
         return last_s
 
-    def waited_since(self, stream: MemoryStream) -> float:
+    def pending_since(self, stream: MemoryStream) -> float:
         """Return now: connections in memory are accepted at once."""
         return trio.current_time()
 
-    def has_left(self, stream: MemoryStream) -> bool:
+    def peer_disconnected(self, stream: MemoryStream) -> bool:
         """Return whether the peer ended the connection and nothing of it lies unread."""
         return stream.closed or not stream.buffer and (stream.ended or stream.peer.closed)
 
@@ -283,15 +291,15 @@
         except (trio.WouldBlock, trio.EndOfChannel, trio.ClosedResourceError):
             return None
 
-    def end(self, stream: MemoryStream) -> None:
+    def send_eof_now(self, stream: MemoryStream) -> None:
         """End the sending direction, at once; what comes is still read."""
-        stream.end()
+        stream.send_eof_now()
 
     def send_now(self, stream: MemoryStream, data: bytes) -> int:
         """Send what the peer has room for; return how many bytes that was."""
         return stream.send_now(data)
 
-    def lost(self, stream: MemoryStream) -> bool:
+    def is_stale(self, stream: MemoryStream) -> bool:
         """Return whether an idle stream was closed, or holds bytes nobody asked for."""
         return stream.closed or stream.ended or stream.peer.closed or bool(stream.buffer)
 
--- a/mothnotch/net/sockets.py
+++ b/mothnotch/net/sockets.py
@@ -11,7 +11,7 @@
 
 from mothnotch.net.addresses import AddressError, parse_address
 from mothnotch.net.arrival_clock import ArrivalClock
-from mothnotch.net.datagrams import Datagrams
+from mothnotch.net.datagrams import DatagramSocket
 from mothnotch.net.errors import RETRY_PAUSE_S, TRANSIENT_ERRNOS
 
 # Linux: a control message with the time at which a segment came, two longs. 35 is its number where
@@ -21,7 +21,7 @@
 _ANCILLARY_BYTES = socket.CMSG_SPACE(_TIMESTAMP.size) if hasattr(socket, "CMSG_SPACE") else 0
 
 
-def shut(stream) -> None:
+def close_now(stream) -> None:
     """Close a stream at once, without waiting."""
     (stream.socket if hasattr(stream, "socket") else stream).close()
 
@@ -66,7 +66,7 @@
             return None
         sock.setblocking(False)
         stream = trio.SocketStream(trio.socket.from_stdlib_socket(sock))
-        stream.waited_since_s = self._waiting_since_s  # read by `waited_since`
+        stream.pending_since_s = self._waiting_since_s  # read by `pending_since`
         return stream
 
     async def aclose(self) -> None:
@@ -84,7 +84,7 @@
         # From the first prepared stream on.
         self._arrival_clock = None
 
-    def wall(self) -> float:
+    def wall_time(self) -> float:
         """Return the wall clock's reading, in seconds."""
         return time.time()
 
@@ -120,7 +120,7 @@
             _set_option(listener.socket, socket.SOL_SOCKET, _TIMESTAMP_OPTION)
         return [Listener(listener.socket) for listener in found]
 
-    async def datagrams(self, address: str) -> Datagrams:
+    async def bind_datagrams(self, address: str) -> DatagramSocket:
         """Return datagrams at an address, host:port, over IPv4; port 0 picks one.
 
         Raise AddressError or OSError if the address cannot be used.
@@ -134,14 +134,14 @@
         except OSError:
             sock.close()
             raise
-        return Datagrams(sock)
+        return DatagramSocket(sock)
 
-    def name(self, listener: Listener) -> str:
+    def bound_address(self, listener: Listener) -> str:
         """Return the address that a listener really has."""
         found = listener.socket.getsockname()
         return f"unix:{found}" if isinstance(found, str) else f"{found[0]}:{found[1]}"
 
-    async def work(self, function: Callable, *args):
+    async def run_in_thread(self, function: Callable, *args):
         """Return what a long computation returns, run in a thread, a few at a time.
 
         A cancelled caller leaves the thread to itself.
@@ -150,7 +150,7 @@
             function, *args, limiter=self._limiter, abandon_on_cancel=True
         )
 
-    def prepare(self, stream) -> None:
+    def configure_stream(self, stream) -> None:
         """Make a stream ready for `receive`: data is stamped, small writes aren't delayed."""
         if self._arrival_clock is None:
             self._arrival_clock = ArrivalClock()
@@ -204,19 +204,21 @@
         """
         return listener.accept_now()
 
-    def unseen_s(self) -> float:
+    def max_unread_age_s(self) -> float:
         """Return for how many seconds something may have lain unread on a prepared stream."""
-        return 0.0 if self._arrival_clock is None else self._arrival_clock.unseen_s()
+        return 0.0 if self._arrival_clock is None else self._arrival_clock.max_unread_age_s()
 
-    def earliest(self, last_s: float) -> float:
+    def earliest_arrival(self, last_s: float) -> float:
         """Return when the first of some data came at the earliest, whose last came at `last_s`."""
-        return last_s if self._arrival_clock is None else self._arrival_clock.earliest(last_s)
+        return (
+            last_s if self._arrival_clock is None else self._arrival_clock.earliest_arrival(last_s)
+        )
 
-    def waited_since(self, stream: trio.SocketStream) -> float:
+    def pending_since(self, stream: trio.SocketStream) -> float:
         """Return since when an accepted connection may have waited, and data on it with it."""
-        return stream.waited_since_s
+        return stream.pending_since_s
 
-    def has_left(self, stream) -> bool:
+    def peer_disconnected(self, stream) -> bool:
         """Return whether the peer ended or reset the connection and nothing of it lies unread.
 
         Seen without waiting.
@@ -226,7 +228,7 @@
         except OSError as error:
             return error.errno not in TRANSIENT_ERRNOS
 
-    def end(self, stream) -> None:
+    def send_eof_now(self, stream) -> None:
         """End the sending direction, at once; what comes is still read."""
         stream.socket.shutdown(socket.SHUT_WR)
 
@@ -243,7 +245,7 @@
                 return 0
             raise
 
-    def lost(self, stream) -> bool:
+    def is_stale(self, stream) -> bool:
         """Return whether an idle stream was closed by its peer, or holds bytes nobody asked for.
 
         Seen without waiting.
--- a/mothnotch/node/call_writer.py
+++ b/mothnotch/node/call_writer.py
@@ -70,7 +70,7 @@
         After a stall of the root, a disconnect may be unread in the client's socket.
         """
         return (
-            connection_policy.client_may_have_disconnected(self.context.network.unseen_s())
+            connection_policy.client_may_have_disconnected(self.context.network.max_unread_age_s())
             and attempt.part.query.has_disconnected()
         )
 
--- a/mothnotch/node/client_connection.py
+++ b/mothnotch/node/client_connection.py
@@ -51,7 +51,7 @@
         self.since_s = trio.current_time()
         self.arrivals = ArrivalTimes()
         # For the first read: its first bytes may be as old as the connection.
-        self.waited_since_s = self.network.waited_since(stream)
+        self.waited_since_s = self.network.pending_since(stream)
         self.arrived_s = self.since_s
         self.ahead_bytes = 0
         self.discarded_bytes = 0
@@ -135,7 +135,7 @@
         """Pass data to h11, and record its arrival time."""
         if not self.http.trailing_data[0]:
             self.arrivals.clear()
-        first_s = min(self.network.earliest(at_s), self.waited_since_s)
+        first_s = min(self.network.earliest_arrival(at_s), self.waited_since_s)
         self.waited_since_s = math.inf
         self.arrivals.add(len(data), at_s, first_s)
         self.http.receive_data(data)
--- a/mothnotch/node/client_connections.py
+++ b/mothnotch/node/client_connections.py
@@ -13,7 +13,7 @@
 
 from mothnotch.decisions import resource_limits
 from mothnotch.decisions.invariants import Invariant
-from mothnotch.net import CONNECTION_LOST_ERRORS, shut
+from mothnotch.net import CONNECTION_LOST_ERRORS, close_now
 from mothnotch.node import requests
 from mothnotch.node.client_connection import READ_BYTES, ClientConnection
 from mothnotch.node.closing import ClientCloseReason
@@ -38,7 +38,7 @@
         """Add an accepted connection; beyond the limit, others are closed for it."""
         self.clients[client] = None
         self.context.counts["connections"] += 1
-        self.context.network.prepare(client.stream)
+        self.context.network.configure_stream(client.stream)
         if len(self.clients) > self.context.resource_limits.max_clients:
             self.shed()
 
@@ -82,7 +82,7 @@
         client.lingering = True
         client.since_s = trio.current_time()
         try:
-            self.context.network.end(client.stream)
+            self.context.network.send_eof_now(client.stream)
         except CONNECTION_LOST_ERRORS:
             self.close(client, ClientCloseReason.LEFT)
 
@@ -111,7 +111,7 @@
                 ahead_bytes=client.ahead_bytes,
             )
         self.clients.pop(client, None)
-        shut(client.stream)
+        close_now(client.stream)
         self.handler.abandon(client)
 
     def confirm_idle(self, client: ClientConnection) -> bool:
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -12,7 +12,7 @@
 from mothnotch.decisions.interface import HealthCheckEnded, Result
 from mothnotch.decisions.invariants import Violations
 from mothnotch.leaves.timeouts import Timeouts
-from mothnotch.net import shut
+from mothnotch.net import close_now
 from mothnotch.node import frames
 from mothnotch.node.answer_reader import AnswerReader
 from mothnotch.node.call_context import CallContext
@@ -211,7 +211,7 @@
         del self.connections[connection]
         connection.leaf.connections.remove(connection)
         if connection.stream is not None:
-            shut(connection.stream)
+            close_now(connection.stream)
         attempts = connection.in_flight
         connection.in_flight = {}
         for attempt in attempts.values():
--- a/mothnotch/node/connector.py
+++ b/mothnotch/node/connector.py
@@ -2,7 +2,7 @@
 
 import trio
 
-from mothnotch.net import shut
+from mothnotch.net import close_now
 from mothnotch.node.answer_reader import AnswerReader
 from mothnotch.node.call_context import CallContext
 from mothnotch.node.closing import LeafCloseReason
@@ -46,10 +46,10 @@
         if stream is None or connection.dead:
             self.context.counts["connects_failed"] += 1
             if stream is not None:
-                shut(stream)
+                close_now(stream)
             connection.close(LeafCloseReason.CONNECT_FAILED)
             return False
-        network.prepare(stream)
+        network.configure_stream(stream)
         connection.stream = stream
         connection.idle_since_s = trio.current_time()
         connection.flush_queued()
--- a/mothnotch/node/discovery.py
+++ b/mothnotch/node/discovery.py
@@ -10,7 +10,7 @@
 from mothnotch.decisions.interface import WatchEvent, WatchEventKind
 from mothnotch.decisions.start_times import StartTimes
 from mothnotch.decisions.watch_policy import WatchPolicy
-from mothnotch.net import CONNECTION_LOST_ERRORS, shut
+from mothnotch.net import CONNECTION_LOST_ERRORS, close_now
 from mothnotch.node import listing
 from mothnotch.root.core import now_us
 
@@ -46,7 +46,7 @@
         self.log = log
         self.endpoints = endpoint_list.EndpointTracker()
         self.policy = WatchPolicy(random, trio.current_time())
-        self.starts = StartTimes(now_us(), network.wall())
+        self.starts = StartTimes(now_us(), network.wall_time())
         self.open_scopes = []
         self.changed = trio.Event()  # wakes `run` when the time of the next watch has changed
         self.has_list = False
@@ -150,7 +150,7 @@
                 elif isinstance(event, h11.EndOfMessage | h11.ConnectionClosed):
                     raise EOFError("the agent ended the response")
         finally:
-            shut(stream)
+            close_now(stream)
 
     def _request(self, http):
         """Return the request for a watch: from the held version on, unless a snapshot is needed."""
--- a/mothnotch/node/request_handler.py
+++ b/mothnotch/node/request_handler.py
@@ -44,7 +44,7 @@
         core.violations.check(not client.dead, Invariant.BEGUN_FOR_NOBODY, request=request_id)
         try:
             client.query = core.submit(
-                request, on_finished, lambda: self.context.network.has_left(client.stream)
+                request, on_finished, lambda: self.context.network.peer_disconnected(client.stream)
             )
         except OverloadedError as error:
             text = requests.encode({"error": str(error)})
--- a/mothnotch/node/root.py
+++ b/mothnotch/node/root.py
@@ -88,7 +88,7 @@
             self.watch.start(self.config.initial_listing)
             self.nursery.start_soon(self.watch.run)
             self.listeners = await self._listen()
-            self.addresses = [self.network.name(listener) for listener in self.listeners]
+            self.addresses = [self.network.bound_address(listener) for listener in self.listeners]
             await self.nursery.start(self.frontend.run, self.listeners)
             self.log.info("serving", name=self.config.name, addresses=self.addresses)
             task_status.started(self)
--- a/mothnotch/peers/exchange.py
+++ b/mothnotch/peers/exchange.py
@@ -14,7 +14,7 @@
 import trio
 
 from mothnotch.decisions.fleet.gossip_protocol import GossipProtocol
-from mothnotch.net import CONNECTION_LOST_ERRORS, shut
+from mothnotch.net import CONNECTION_LOST_ERRORS, close_now
 from mothnotch.peers.codec import MAX_STREAM_BYTES, VIEW_MAGIC, Codec, InvalidMessageError
 from mothnotch.peers.wire import View
 
@@ -74,7 +74,7 @@
                 ours = protocol.full_state(now_us(), theirs.stamp)
                 await write_message(stream, codec.encode_full_state(ours))
         finally:
-            shut(stream)
+            close_now(stream)
 
 
 async def serve_stream(
@@ -97,7 +97,7 @@
             else:
                 await _serve_full_state(stream, codec, protocol, now_us, data)
     finally:
-        shut(stream)
+        close_now(stream)
 
 
 async def _serve_full_state(stream, codec, protocol, now_us, data: bytes) -> None:
@@ -124,4 +124,4 @@
                 raise InvalidMessageError("stamp")
             return view
         finally:
-            shut(stream)
+            close_now(stream)
--- a/mothnotch/peers/service.py
+++ b/mothnotch/peers/service.py
@@ -17,7 +17,7 @@
 from mothnotch.decisions.fleet.rate_limit import MessageRateLimit
 from mothnotch.decisions.fleet.swim_messages import SwimSettings
 from mothnotch.decisions.fleet.swim_node import SwimNode
-from mothnotch.net import serve, shut
+from mothnotch.net import close_now, serve
 from mothnotch.peers import exchange
 from mothnotch.peers.codec import MAX_DATAGRAM_BYTES, Codec, InvalidMessageError
 from mothnotch.peers.wire import Fact, PeerView, View, to_wire
@@ -110,7 +110,7 @@
         swim = SwimNode(
             self.name,
             self.incarnation,
-            self.socket.name,
+            self.socket.address,
             self.seeds,
             self.settings,
             self.random,
@@ -122,9 +122,9 @@
     async def _bind(self):
         """Return (datagram socket, stream listeners) bound to one address."""
         for _ in range(MAX_PORT_ATTEMPTS):
-            datagram_socket = await self.network.datagrams(self.listen)
+            datagram_socket = await self.network.bind_datagrams(self.listen)
             try:
-                return datagram_socket, await self.network.listen(datagram_socket.name)
+                return datagram_socket, await self.network.listen(datagram_socket.address)
             except OSError:
                 datagram_socket.close()
                 if not self.listen.endswith(":0"):
@@ -142,7 +142,7 @@
 
     async def _reject_stream(self, stream) -> None:
         self._count_drop("callers")
-        shut(stream)
+        close_now(stream)
 
     async def _sync_full_state(self, address: str) -> None:
         """Exchange full states with the root at an address."""
@@ -153,7 +153,7 @@
                 self.codec,
                 self.protocol,
                 now_us,
-                self.socket.name.rpartition(":")[0],
+                self.socket.address.rpartition(":")[0],
             )
         except exchange.EXCHANGE_ERRORS as error:
             self.protocol.on_sync_failed(now_us())
--- a/mothnotch/root/endpoint_file.py
+++ b/mothnotch/root/endpoint_file.py
@@ -86,7 +86,7 @@
         # Number of lists applied so far.
         self.version = 0
         self._entries = []
-        self._start_times = StartTimes(now_us(), network.wall())
+        self._start_times = StartTimes(now_us(), network.wall_time())
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         """Run until cancelled; report the task as started after the first poll."""
--- a/mothnotch/standins/client.py
+++ b/mothnotch/standins/client.py
@@ -9,7 +9,7 @@
 
 import trio
 
-from mothnotch.net import shut
+from mothnotch.net import close_now
 from mothnotch.pgwire import backend as b
 from mothnotch.pgwire import client
 
@@ -105,7 +105,7 @@
         await stream.send_all(client.cancel_request(self.key.pid, self.key.secret))
         with trio.move_on_after(1):
             await stream.receive_some(1)
-        shut(stream)
+        close_now(stream)
 
     async def surplus_bytes(self, seconds):
         """Bytes that come within a time though nothing was asked: there must be none."""
@@ -116,4 +116,4 @@
 
     def close(self):
         if self.stream is not None:
-            shut(self.stream)
+            close_now(self.stream)
--- a/mothnotch/standins/consul.py
+++ b/mothnotch/standins/consul.py
@@ -15,7 +15,7 @@
 import h11
 import trio
 
-from mothnotch.net import serve, shut
+from mothnotch.net import close_now, serve
 
 WAIT_S, WAIT_MOST_S = 300.0, 600.0
 UNITS = {"ns": 1e-9, "us": 1e-6, "ms": 1e-3, "s": 1.0, "m": 60.0, "h": 3600.0}
@@ -280,7 +280,7 @@
         """One life of the agent's process, until `stop`."""
         with trio.CancelScope() as self.scope:
             listeners = await self.network.listen(self.address)
-            self.address, self.up = self.network.name(listeners[0]), True
+            self.address, self.up = self.network.bound_address(listeners[0]), True
             self.catalogue.register_node(self.node, "127.0.0.1")
             task_status.started(self)
             try:
@@ -355,7 +355,7 @@
         except (OSError, h11.ProtocolError, trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         finally:
-            shut(stream)
+            close_now(stream)
 
     async def respond(self, stream, http, request, body):
         """Answers one request; false if the connection is to be closed."""
--- a/mothnotch/standins/leaf.py
+++ b/mothnotch/standins/leaf.py
@@ -13,7 +13,7 @@
 
 import trio
 
-from mothnotch.net import serve, shut
+from mothnotch.net import close_now, serve
 from mothnotch.pgwire import backend as b
 from mothnotch.pgwire import server as wire
 from mothnotch.pgwire import types as t
@@ -101,10 +101,10 @@
             return
         self.cores = trio.Semaphore(self.s.cores)
         self.started, self.cold, self.sent = trio.current_time(), cold, deque()
-        self.started_wall = self.network.wall() if cold else self.network.wall() - 3600
+        self.started_wall = self.network.wall_time() if cold else self.network.wall_time() - 3600
         with trio.CancelScope() as self.scope:
             listeners = await self.network.listen(self.s.address)
-            self.s.address = self.network.name(listeners[0])
+            self.s.address = self.network.bound_address(listeners[0])
             self.up = True
             self.see("up")
             task_status.started()
@@ -122,7 +122,7 @@
             finally:
                 self.up = False
                 for session in list(self.sessions.values()):
-                    shut(session.stream)
+                    close_now(session.stream)
                 self.sessions.clear()
                 for listener in listeners:
                     with trio.CancelScope(shield=True):
@@ -151,7 +151,7 @@
             )
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
-        shut(stream)
+        close_now(stream)
 
     async def reap(self):
         while True:
@@ -164,7 +164,7 @@
                     if self.trouble.silent_reap:
                         session.used = float("inf")  # forgotten: nothing on it is heard any more
                     else:
-                        shut(session.stream)
+                        close_now(session.stream)
 
     # ---- one connection ----
 
@@ -179,7 +179,7 @@
             pass
         finally:
             self.sessions.pop(session.pid, None)
-            shut(stream)
+            close_now(stream)
 
     def arrived(self, session, arrived):
         """Reads all that has come in, and records each statement at the time it came, not when its
--- a/mothnotch/standins/platform.py
+++ b/mothnotch/standins/platform.py
@@ -13,7 +13,7 @@
 import trio
 
 from mothnotch.audit.rules import Ask, Record
-from mothnotch.net import serve, shut
+from mothnotch.net import close_now, serve
 from mothnotch.standins.leaf import Seen
 
 SPOILT = ("noise", "endless", "short", "huge", "letter", "end", "id", "number")
@@ -58,7 +58,7 @@
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         listeners = await self.network.listen(self.listen)
-        self.address = self.network.name(listeners[0])
+        self.address = self.network.bound_address(listeners[0])
         async with trio.open_nursery() as self.nursery:
             task_status.started(self)
             await serve(listeners, self.connection, self.nursery)
@@ -66,7 +66,7 @@
     def drop(self):
         """Ends its connections, as a process that dies does."""
         for stream in list(self.streams):
-            shut(stream)
+            close_now(stream)
 
     async def connection(self, stream):
         self.connections += 1
@@ -90,7 +90,7 @@
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
         self.streams.discard(stream)
-        shut(stream)
+        close_now(stream)
 
     def call(self, stream, rest, waiting):
         while rest:
@@ -183,7 +183,7 @@
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED):
         listeners = await self.network.listen(self.listen)
-        self.address = self.network.name(listeners[0])
+        self.address = self.network.bound_address(listeners[0])
         async with trio.open_nursery() as nursery:
             task_status.started(self)
             await serve(listeners, self.connection, nursery)
@@ -201,7 +201,7 @@
 
     def drop(self):
         for stream in list(self.streams):
-            shut(stream)
+            close_now(stream)
 
     async def connection(self, stream):
         self.streams.add(stream)
@@ -233,7 +233,7 @@
             pass
         finally:
             self.streams.discard(stream)
-            shut(stream)
+            close_now(stream)
 
     async def chunk(self, stream, text):
         data = text.encode() + b"\n"
