--- a/mothnotch/audit/breaches.py
+++ b/mothnotch/audit/breaches.py
@@ -63,8 +63,8 @@
             )
         )
 
-    follow = root.leaves.follow
-    root.leaves.follow = lambda addresses, closing: follow(
+    follow = root.leaves.update_endpoints
+    root.leaves.update_endpoints = lambda addresses, closing: follow(
         {**{n: x.address for n, x in root.leaves.leaves.items()}, **addresses}
     )
     root.core.on_watch_event = told
--- a/mothnotch/badday/fleet.py
+++ b/mothnotch/badday/fleet.py
@@ -363,7 +363,7 @@
         root = Root(
             config,
             self.day.network,
-            logs.silent(),
+            logs.null_logger(),
             self.sources[n],
             seed=self.day.seed * 100 + n,
             random=seeded.randbytes,
--- a/mothnotch/badday/play.py
+++ b/mothnotch/badday/play.py
@@ -484,7 +484,7 @@
         root = Root(
             config,
             day.network,
-            logs.silent(),
+            logs.null_logger(),
             source,
             seed=day.seed * 100 + me,
             random=seeded.randbytes,
--- a/mothnotch/bench.py
+++ b/mothnotch/bench.py
@@ -225,7 +225,9 @@
     async def main():
         async with trio.open_nursery() as nursery:
             root = await nursery.start(
-                Root(demo.config(), net.SocketNetwork(), logs.silent(), EndpointFile(roster)).run
+                Root(
+                    demo.config(), net.SocketNetwork(), logs.null_logger(), EndpointFile(roster)
+                ).run
             )
             await measure_latencies(root.addresses[0], whole, 0.5, 2)
             profiler.enable()
--- a/mothnotch/config/root_config.py
+++ b/mothnotch/config/root_config.py
@@ -103,7 +103,7 @@
             user=self.leaves.user,
             database=self.leaves.database,
             password=self.leaves.password,
-            most=self.leaves.most_connections,
+            max_connections=self.leaves.most_connections,
             connect_timeout_s=self.leaves.connect_timeout_ms / 1000,
             idle_s=self.leaves.idle_s,
             message_limit=self.leaves.message_limit,
--- a/mothnotch/consul/watch.py
+++ b/mothnotch/consul/watch.py
@@ -127,7 +127,7 @@
         # The pools come first: they withdraw attempts that the module decided on before the event
         # and that have not been sent.
         not_up = {entry.server for entry in entries if entry.state != "up"}
-        self.leaves.follow(membership.addresses(), not_up)
+        self.leaves.update_endpoints(membership.addresses(), not_up)
         self.core.on_watch_event(WatchEvent(kind, self.version, entries))
         self.log.info(
             "list",
@@ -234,7 +234,7 @@
             if release_us is not None:
                 pause_s = min(MAX_TICK_INTERVAL_S, max(0.001, (release_us - now_us()) / 1e6))
             await trio.sleep(pause_s)
-            self.membership.on_tick(now_us(), self.leaves.own())
+            self.membership.on_tick(now_us(), self.leaves.local_evidence())
             self.publish()
 
     async def _save_changes(self):
--- a/mothnotch/daemon.py
+++ b/mothnotch/daemon.py
@@ -16,7 +16,7 @@
 from mothnotch.decisions.memory_budget import MemoryBudget
 from mothnotch.fronts.pg import PgFront
 from mothnotch.fronts.session import Service
-from mothnotch.leaves.pool import Leaves
+from mothnotch.leaves.pool import LeafPools
 from mothnotch.merge.holding import Holding
 from mothnotch.net import parse_address
 from mothnotch.peers.peer_discovery import ADDRESS_META_KEY, PeerDiscovery
@@ -55,7 +55,7 @@
         self.network = network
         self.log = log
         self._random = random
-        self.leaves = Leaves(network, config.pool(), log)
+        self.leaves = LeafPools(network, config.pool(), log)
         self.core = self._make_core(seed)
         self.core.cpu_clock = cpu
         self._run_name = f"{config.root.me}-{random(RUN_NAME_BYTES).hex()}"
--- a/mothnotch/fronts/session.py
+++ b/mothnotch/fronts/session.py
@@ -12,7 +12,7 @@
 from mothnotch.decisions import coverage, outcomes, request_classes, transactions
 from mothnotch.decisions.coverage import Coverage, RangeCoverage
 from mothnotch.decisions.outcomes import FinalStatus
-from mothnotch.leaves.payload import Read, Statement, Write, affected
+from mothnotch.leaves.payload import Read, Statement, Write, affected_rows
 from mothnotch.pgwire import types as t
 from mothnotch.pgwire.backend import ErrorFields
 from mothnotch.root.core import OverloadedError, now_us
@@ -600,7 +600,7 @@
                 )
                 for tag, write in zip(outcome.rows[0].tags, writes, strict=True):
                     told = write.row_count
-                    if affected(tag) != told:
+                    if affected_rows(tag) != told:
                         raise SqlError("XX000", f"COMMIT says {tag} where {told} rows were told")
         except SqlError:
             self.undo_settings()
--- a/mothnotch/leaves/__init__.py
+++ b/mothnotch/leaves/__init__.py
@@ -1,1 +1,1 @@
-"""The root's side towards its leaves: pools of connections, calls, one Result for every attempt."""
+"""Client side of the leaves: connection pools, calls, and one Result for each attempt."""
--- a/mothnotch/leaves/call.py
+++ b/mothnotch/leaves/call.py
@@ -1,14 +1,15 @@
-"""One call: what one turn of the root sends to one leaf."""
+"""One call: attempts that are sent to one leaf together, on one connection."""
 
 
 class Call:
     """A call in flight: an exchange, and the connection it runs on.
 
-    `connection`: None while it is being made; `connect_scope`: the cancel scope of making it.
+    `connection`: None until a connection is assigned; `connect_scope`: the cancel scope of the
+    connect that is made for the call, if any.
     """
 
     def __init__(self, pool, leaf, exchange):
-        """Make a call of the exchange's attempts to that leaf."""
+        """Create a call that sends the attempts of `exchange` to `leaf`."""
         self.pool = pool
         self.leaf = leaf
         self.exchange = exchange
@@ -19,15 +20,15 @@
 
     @property
     def live_attempts(self) -> list:
-        """The attempts of it that have not ended."""
+        """The attempts of the call that have not ended."""
         return [attempt for attempt in self.exchange.attempts if not attempt.ended]
 
     @property
     def sent(self) -> bool:
-        """Whether anything of it may have been sent."""
+        """Whether any bytes of the call may have been sent."""
         return self.connection is not None
 
     def cancel(self, attempt) -> None:
-        """Note that an attempt of it was cancelled; once nobody waits for any, it is abandoned."""
+        """Handle a cancelled attempt: abandon the call once all of its attempts have ended."""
         if not self.live_attempts:
             self.pool.abandon(self)
--- a/mothnotch/leaves/connection.py
+++ b/mothnotch/leaves/connection.py
@@ -1,7 +1,7 @@
-"""One connection to a leaf: opening it, and the task that reads from it.
+"""One connection to a leaf: startup, authentication and the task that reads from it.
 
-What runs over it is an exchange, which does no I/O: the connection feeds it what the leaf says and
-sends the bytes that it returns.
+An exchange implements the protocol of a call without I/O: the connection passes it the leaf's
+messages and sends the bytes that it returns.
 """
 
 import trio
@@ -12,34 +12,34 @@
 from mothnotch.pgwire.backend import ErrorFields
 from mothnotch.pgwire.framing import ProtocolError
 
-# Bytes read at once: more of a long answer would delay all other queries.
+# Maximum bytes per read: processing more of a long answer at once would delay all other queries.
 _READ_BYTES = 1 << 14
 _OPENING_READ_BYTES = 1 << 16
-# Authentication requests of the PostgreSQL wire.
+# Codes of authentication requests in the PostgreSQL protocol.
 _SASL = 10
 _SASL_CONTINUE = 11
 _SASL_FINAL = 12
 _INVALID_AUTHORIZATION = "28000"
 
 
-class NoAnswerError(Exception):
-    """A connection was made and the leaf turned it away, with an error: `fields`."""
+class ConnectionRejectedError(Exception):
+    """The leaf rejected a connection during startup with an error, `fields`."""
 
     def __init__(self, fields: ErrorFields):
-        """`fields`: the leaf's error."""
+        """Create the exception from the leaf's error fields."""
         super().__init__(fields.text)
         self.fields = fields
 
 
 class Connection(BufferedWriter):
-    """An authenticated connection, once `open` has returned.
+    """A connection to a leaf, which is authenticated once `open` has returned.
 
-    `call`: the call in flight on it, or None; `pid` and `secret` are for cancelling what runs on
-    it; `idle_since_s`: when it was released last.
+    `call`: the call in flight, or None; `pid` and `secret`: the key data that a cancel request
+    needs; `idle_since_s`: when the connection was last released.
     """
 
     def __init__(self, pool, stream, leaf, address: str):
-        """Take over a stream to that leaf at that address, for that pool."""
+        """Take ownership of a stream that is connected to `leaf` at `address`."""
         super().__init__(pool.network, pool.nursery, stream)
         self.pool = pool
         self.leaf = leaf
@@ -48,17 +48,17 @@
         self.pid = None
         self.secret = None
         self.idle_since_s = 0.0
-        # Nothing of its call has been sent yet, not a byte.
+        # True while no byte of the current call has been sent.
         self._first_byte_unsent = False
         self._wire = client.ClientConnection(pool.settings.message_limit)
 
-    # ---- opening ----
+    # ---- startup ----
 
     async def open(self, parameters: dict, password: str | None) -> None:
-        """Start up and authenticate, until the leaf is ready.
+        """Send the startup message and authenticate; return once the leaf is ready.
 
-        Raise NoAnswerError if the leaf turns the connection away, EOFError if it closes it. The
-        caller bounds the wait.
+        Raise ConnectionRejectedError if the leaf answers with an error, EOFError if it closes the
+        connection. The caller sets the timeout.
         """
         await self.stream.send_all(client.startup(parameters))
         scram = None
@@ -70,12 +70,12 @@
                 self.pid = event.pid
                 self.secret = event.secret
             elif type(event) is client.Failed:
-                raise NoAnswerError(event.fields)
+                raise ConnectionRejectedError(event.fields)
             elif type(event) is client.Ready:
                 return
 
     async def _authenticate(self, event, scram, user, password):
-        """Answer an authentication request; return the SCRAM exchange, None before it begins."""
+        """Answer an authentication request; return the SCRAM client, None if there is none yet."""
         if event.code == _SASL and password is not None:
             scram = auth.client(user, password)
             first = client.sasl_initial(auth.MECHANISM, scram.get_client_first())
@@ -86,17 +86,17 @@
         elif event.code == _SASL_FINAL and scram:
             scram.set_server_final(event.rest.decode())
         else:
-            raise NoAnswerError(
+            raise ConnectionRejectedError(
                 ErrorFields(
                     "FATAL",
                     _INVALID_AUTHORIZATION,
-                    f"the leaf asks for authentication {event.code}, which is not configured",
+                    f"the leaf requires authentication {event.code}, which is not configured",
                 )
             )
         return scram
 
     async def _receive(self):
-        """Return the next event; raise EOFError if the leaf closed the connection."""
+        """Wait for the next event; raise EOFError if the leaf closed the connection."""
         while True:
             event = self._wire.next_event()
             if event is not None:
@@ -109,7 +109,7 @@
     # ---- sending ----
 
     def start_call(self, call) -> None:
-        """Send the first bytes of a call; it is in flight from here on."""
+        """Assign a call to this connection and send its first bytes."""
         call.connection = self
         self.call = call
         sent_us = int(trio.current_time() * 1e6)
@@ -119,11 +119,11 @@
         self.send(call.exchange.begin())
 
     def on_bytes_written(self, count: int, at_s: float) -> None:
-        """Note whether the first byte of its call has been sent."""
+        """Record whether the first byte of the call has been sent."""
         self._first_byte_unsent = self._first_byte_unsent and not count
 
     def revoke_unsent(self) -> bool:
-        """Withdraw its call if nothing of it was sent and its leaf takes nothing new any more."""
+        """Withdraw the call if none of it was sent and the leaf no longer takes new attempts."""
         return (
             self._first_byte_unsent
             and not self.leaf.takes_new
@@ -132,13 +132,13 @@
         )
 
     def on_connection_lost(self) -> None:
-        """End what runs on it as BROKEN."""
+        """Close the connection; its call ends as BROKEN."""
         self.pool.connection_lost(self)
 
     # ---- reading ----
 
     async def read_until_lost(self) -> None:
-        """Take in what the leaf says until the connection is lost or abandoned."""
+        """Read and process the leaf's messages until the connection is lost or abandoned."""
         try:
             while True:
                 data = await self.stream.receive_some(_READ_BYTES)
@@ -146,7 +146,7 @@
                     return
                 if not data:
                     break
-                self.leaf.own.last_answered_us = int(trio.current_time() * 1e6)
+                self.leaf.local_evidence.last_answered_us = int(trio.current_time() * 1e6)
                 self._wire.receive(data)
                 self._process_events()
                 if self.dead:
@@ -156,23 +156,25 @@
         except (ProtocolError, ValueError, LookupError) as error:
             self.pool.log.warning("leaf broke the protocol", leaf=self.leaf.name, error=str(error))
         except Exception as error:
-            # A defect of the root's must cost this connection's calls, not every client of this
-            # root.
+            # A bug in this code must fail only the calls of this connection, not all clients of
+            # the root.
             self.pool.log.error(
                 "unexpected error", leaf=self.leaf.name, error=repr(error), exc_info=True
             )
         self.pool.connection_lost(self)
 
     def _process_events(self):
-        """Feed what has come to the exchange, and send what it returns."""
+        """Pass the received messages to the exchange and send the bytes that it returns."""
         out = b""
         while (event := self._wire.next_event()) is not None:
             call = self.call
-            if call is None:  # unasked: an error before it closes, or a half-read answer's rest
+            if call is None:
+                # Unsolicited: an error before the leaf closes the connection, or the rest of an
+                # answer that was only read in part.
                 self.pool.connection_lost(self)
                 return
             out += call.exchange.receive(event)
-            if call.exchange.over:
+            if call.exchange.is_complete:
                 self.pool.release(self)
         if out:
             self.send(out)
--- a/mothnotch/leaves/leaf.py
+++ b/mothnotch/leaves/leaf.py
@@ -1,4 +1,4 @@
-"""What the pool keeps of one leaf."""
+"""State that the connection pool keeps for one leaf."""
 
 from mothnotch.decisions.leaf_membership.catalogue_answers import LocalEvidence
 
@@ -6,17 +6,17 @@
 class Leaf:
     """One leaf and its connections.
 
-    `takes_new`: whether attempts may still be sent to it; `idle`: its idle connections, the one
-    used last at the end; `open`: how many connections there are, with those being made; `own`: what
-    its connections met, which is evidence for the membership.
+    `takes_new`: whether new attempts may be sent to the leaf; `idle`: idle connections, the most
+    recently used last; `open`: the number of connections, including those being made;
+    `local_evidence`: when the leaf last answered or failed here, which membership decisions use.
     """
 
     def __init__(self, name: str, address: str):
-        """Know a leaf that takes calls and has no connections yet."""
+        """Create a leaf that takes new attempts and has no connections."""
         self.name = name
         self.address = address
         self.takes_new = True
         self.idle = []
         self.open = 0
         self.cancels_in_flight = 0
-        self.own = LocalEvidence()
+        self.local_evidence = LocalEvidence()
--- a/mothnotch/leaves/payload.py
+++ b/mothnotch/leaves/payload.py
@@ -1,11 +1,11 @@
-"""What a part asks of a leaf that speaks SQL, and what it brings."""
+"""Payload of a part that is sent to a SQL leaf, and its result."""
 
 from dataclasses import dataclass, field
 
 
 @dataclass(slots=True)
 class Statement:
-    """One statement with its bound values.
+    """One statement and the values bound to its parameters.
 
     `values` are in text format (bytes, or None for NULL), `oids` their types.
     """
@@ -17,9 +17,9 @@
 
 @dataclass(slots=True)
 class Read:
-    """A statement without effect; several of them may share a call.
+    """A statement without side effects; several reads may share a call.
 
-    `tag`: a comment in front of the statement, which names the range that is meant.
+    `tag`: a comment that precedes the statement and names the range to read.
     """
 
     statement: Statement
@@ -28,10 +28,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Write:
-    """Statements that a leaf commits together or not at all, under a key by which it drops repeats.
+    """Statements that a leaf commits atomically, under an idempotency key that detects retries.
 
-    `expected_counts`: the rows each statement is to affect, None where nothing was stated; the
-    leaf's own counts must agree before COMMIT is sent. `tag`: as of a `Read`.
+    `expected_counts`: the number of rows that each statement must affect, None where the client
+    stated none; the leaf's own counts must match before COMMIT is sent. `tag`: as in `Read`.
     """
 
     key: str
@@ -42,16 +42,16 @@
 
 @dataclass(slots=True)
 class Rows:
-    """What one part brought.
+    """The result of one part.
 
-    `rows`: as they came (values in text format), a list or a Spool; `tags`: the command tags.
+    `rows`: a list or a Spool, with values in text format as received; `tags`: the command tags.
     """
 
     rows: list = field(default_factory=list)
     tags: list = field(default_factory=list)
 
 
-def affected(tag: str) -> int:
-    """Return the number of rows a command tag names, as `UPDATE 3` does; 0 if it names none."""
+def affected_rows(tag: str) -> int:
+    """Return the row count of a command tag such as `UPDATE 3`; 0 if it has none."""
     last = tag.rpartition(" ")[2]
     return int(last) if last.isdigit() else 0
--- a/mothnotch/leaves/pool.py
+++ b/mothnotch/leaves/pool.py
@@ -1,12 +1,14 @@
 """Pools of connections to the leaves, and the calls that run over them.
 
-A call carries what one turn sends to one leaf: the reads of it pipelined on one connection, each
-write on one of its own. A connection carries one call at a time and has one task for as long as it
-is open, which reads; a call itself costs no task and no cancel scope: it is sent from the turn as
-far as the socket takes it, and its timeouts lie in one heap. Bounds: `most` connections a leaf,
-past which an attempt ends UNSENT at once and the module is asked again; `cancels` cancel
-connections a leaf at once, past which the connection is only closed; the heap holds what was sent
-within the longest attempt timeout.
+The attempts that are dispatched to one leaf together form calls: one call pipelines all reads on
+one connection, and each write is a call on a connection of its own. A connection carries one call
+at a time and has one task, which reads for as long as it is open. A call needs neither a task nor a
+cancel scope: the dispatcher writes as much of it as the socket accepts, and all timeouts share one
+heap.
+
+Limits: `max_connections` per leaf, beyond which an attempt ends UNSENT at once and the balancer
+decides again; `max_cancels` concurrent cancel requests per leaf, beyond which a connection is only
+closed. The heap holds the attempts sent within the longest attempt timeout.
 """
 
 from collections.abc import Callable, Iterable
@@ -16,7 +18,7 @@
 
 from mothnotch.decisions import interface, outcomes
 from mothnotch.leaves.call import Call
-from mothnotch.leaves.connection import Connection, NoAnswerError
+from mothnotch.leaves.connection import Connection, ConnectionRejectedError
 from mothnotch.leaves.leaf import Leaf
 from mothnotch.leaves.payload import Write
 from mothnotch.leaves.read_exchange import ReadExchange
@@ -26,10 +28,10 @@
 from mothnotch.pgwire import client
 from mothnotch.pgwire.framing import ProtocolError
 
-# A cancel request that has not been sent by then is given up: the connection is closed anyway, and
-# a leaf that is down must not hold the few that there are.
+# Timeout of a cancel request. The connection is closed in any case, and a leaf that is down must
+# not occupy the limited number of cancel requests.
 _CANCEL_TIMEOUT_S = 1.0
-# How often idle connections are looked at.
+# Interval at which idle connections are checked for expiry.
 _SWEEP_INTERVAL_S = 1.0
 
 
@@ -37,29 +39,29 @@
 class PoolSettings:
     """How the root connects to its leaves.
 
-    `most`: connections a leaf; `idle_s`: a connection that was idle for longer is closed;
-    `message_limit`: bytes of the largest message a leaf may send; `cancels`: cancel requests to a
-    leaf at once.
+    `max_connections`: maximum connections per leaf; `idle_s`: connections that are idle for longer
+    are closed; `message_limit`: maximum size of a message from a leaf, in bytes; `max_cancels`:
+    maximum concurrent cancel requests per leaf.
     """
 
     user: str = "mothnotch"
     database: str = "stock"
     password: str | None = None
-    most: int = 32
+    max_connections: int = 32
     connect_timeout_s: float = 1.0
     idle_s: float = 60.0
     message_limit: int = 16 << 20
-    cancels: int = 16
+    max_cancels: int = 16
 
 
-class Leaves:
-    """All leaves, as the endpoint list names them.
+class LeafPools:
+    """Connection pools of all leaves in the endpoint list.
 
-    What is sent to a name without an address ends UNREACHABLE.
+    Attempts sent to a leaf that is not in the list end UNREACHABLE.
     """
 
     def __init__(self, network, settings: PoolSettings, log):
-        """Know no leaf yet; `log` has structlog's methods."""
+        """Create pools for no leaves; `log` is a structlog logger."""
         self.network = network
         self.settings = settings
         self.log = log
@@ -75,7 +77,7 @@
         self._timeouts = Timeouts(self._time_out)
 
     async def run(self, task_status=trio.TASK_STATUS_IGNORED) -> None:
-        """Run until cancelled; the tasks of all connections are in its nursery."""
+        """Run until cancelled; the tasks of all connections run in its nursery."""
         try:
             async with trio.open_nursery() as self.nursery:
                 self.nursery.start_soon(self._timeouts.run)
@@ -88,11 +90,11 @@
 
     # ---- the endpoint list ----
 
-    def follow(self, addresses: dict[str, str], closing: Iterable[str] = ()) -> None:
-        """Take over the list's addresses, by name, and the names that take nothing new.
+    def update_endpoints(self, addresses: dict[str, str], draining: Iterable[str] = ()) -> None:
+        """Replace the list of leaves: addresses by name, and names that take no new attempts.
 
-        A changed address closes what is idle at the old one; a name that is no longer listed takes
-        nothing new either, and its calls may still end.
+        If an address changes, the idle connections to the old one are closed. A leaf that is no
+        longer listed takes no new attempts either; its calls in flight may complete.
         """
         for name, address in addresses.items():
             leaf = self.leaves.get(name)
@@ -101,18 +103,18 @@
             elif leaf.address != address:
                 self.close_idle(leaf)
                 leaf.address = address
-            leaf.takes_new = name not in closing
+            leaf.takes_new = name not in draining
         for name in set(self.leaves) - set(addresses):
             leaf = self.leaves.pop(name)
             leaf.takes_new = False
             self.close_idle(leaf)
 
-    def own(self) -> dict:
-        """Return what the root's own connections met last, by name."""
-        return {name: leaf.own for name, leaf in self.leaves.items()}
+    def local_evidence(self) -> dict:
+        """Return, by leaf name, when the root's own connections last succeeded or failed."""
+        return {name: leaf.local_evidence for name, leaf in self.leaves.items()}
 
-    def probe(self, name: str, post: Callable) -> None:
-        """Post that the health check was not sent: leaves over this wire have none."""
+    def check_health(self, name: str, post: Callable) -> None:
+        """Post an UNSENT health check: leaves on the PostgreSQL protocol have no health check."""
         post(interface.HealthCheckEnded(name, interface.Result.UNSENT, 0, None))
 
     def disconnect(self, name: str) -> None:
@@ -128,9 +130,9 @@
     # ---- calls ----
 
     def send(self, name: str, attempts: list) -> None:
-        """Start the calls that carry these attempts.
+        """Start calls that carry these attempts.
 
-        Each attempt ends exactly once, whatever comes.
+        Each attempt ends exactly once, whatever happens.
         """
         leaf = self.leaves.get(name)
         if leaf is None:
@@ -145,15 +147,15 @@
             self._start(Call(self, leaf, exchange))
 
     def _start(self, call):
-        """Put a call on an idle connection, or have one made for it."""
+        """Start a call on an idle connection, or open a connection for it."""
         leaf = call.leaf
         self.counts["calls"] += 1
         for attempt in call.exchange.attempts:
-            self._timeouts.put(attempt)
+            self._timeouts.add(attempt)
         connection = self._take_idle(leaf)
         if connection is not None:
             self._start_on(connection, call)
-        elif leaf.open >= self.settings.most:
+        elif leaf.open >= self.settings.max_connections:
             self.counts["over_most"] += 1
             call.exchange.fail(interface.Result.UNSENT)
         else:
@@ -161,7 +163,7 @@
             self.nursery.start_soon(self._connect, call)
 
     def _take_idle(self, leaf):
-        """Return an idle connection that is still connected, the one used last; or None."""
+        """Remove and return the most recently used idle connection that is open, or None."""
         while leaf.idle:
             connection = leaf.idle[-1]
             if not self.network.is_stale(connection.stream):
@@ -171,19 +173,19 @@
         return None
 
     def _start_on(self, connection, call):
-        """Start a call on a free connection, if it may still be sent."""
+        """Start a call on an idle connection if it may still be sent."""
         if not call.leaf.takes_new or any(
             attempt.past_retry_window for attempt in call.live_attempts
         ):
-            # While the connection was made the leaf began to drain, or the time was over in which
-            # leaves drop a retry: nothing was sent yet, and nothing may be any more.
+            # While the connection was being made, the leaf started to drain or the time expired
+            # within which leaves recognise a retry. Nothing was sent, and nothing may be sent now.
             call.exchange.fail(interface.Result.UNSENT)
             self.release(connection)
             return
         connection.start_call(call)
 
     def withdraw(self, connection: Connection) -> bool:
-        """End a call of which nothing was sent, as its leaf takes nothing new; return True."""
+        """End the unsent call of a connection whose leaf takes no new attempts; return True."""
         call = connection.call
         connection.call = None
         connection.unsent.clear()
@@ -192,7 +194,7 @@
         return True
 
     def release(self, connection: Connection) -> None:
-        """Take back a connection whose call has ended; close it if its leaf has moved or left."""
+        """Return a connection to its pool; close it if its leaf changed address or was removed."""
         leaf = connection.leaf
         connection.call = None
         connection.idle_since_s = trio.current_time()
@@ -201,10 +203,10 @@
         else:
             self.connection_lost(connection)
 
-    # ---- ends ----
+    # ---- closing and cancellation ----
 
     def connection_lost(self, connection: Connection) -> None:
-        """Close a connection, once; what runs on it ends BROKEN."""
+        """Close a connection unless it is closed already; its call ends BROKEN."""
         if connection.dead:
             return
         self._remove(connection)
@@ -215,16 +217,16 @@
             call.exchange.fail(interface.Result.BROKEN)
 
     def _remove(self, connection):
-        """Count a connection no longer as one of its leaf's."""
+        """Remove a connection from its leaf's pool."""
         connection.dead = True
         connection.leaf.open -= 1
         if connection in connection.leaf.idle:
             connection.leaf.idle.remove(connection)
 
     def abandon(self, call: Call) -> None:
-        """Give up a call that nobody waits for.
+        """Cancel a call whose attempts have all ended.
 
-        Its connection is never used again, and the leaf is asked to stop.
+        Its connection is not reused, and a cancel request is sent to the leaf.
         """
         connection = call.connection
         if connection is None:
@@ -235,27 +237,27 @@
             return
         connection.call = None
         self._remove(connection)
-        if connection.pid is None or call.leaf.cancels_in_flight >= self.settings.cancels:
+        if connection.pid is None or call.leaf.cancels_in_flight >= self.settings.max_cancels:
             close_now(connection.stream)
         else:
             self.nursery.start_soon(self._request_cancel, call.leaf, connection)
 
     def _time_out(self, attempt, now_s):
-        """End an attempt that is still in flight at its deadline."""
+        """End an attempt that is in flight at its deadline."""
         call = attempt.call
-        call.leaf.own.last_failed_us = int(now_s * 1e6)
+        call.leaf.local_evidence.last_failed_us = int(now_s * 1e6)
         if call.connection is None:
             attempt.complete(interface.Result.UNREACHABLE)  # nothing was sent
-        elif call.exchange.waits_only_for(attempt):
+        elif call.exchange.is_only_pending(attempt):
             call.exchange.fail(interface.Result.TIMEOUT)
         else:
             attempt.complete(interface.Result.TIMEOUT)
         call.cancel(attempt)
 
-    # ---- connections ----
+    # ---- opening connections ----
 
     async def _connect(self, call):
-        """Make a connection for a call, and start the call on it."""
+        """Open a connection and start the call on it."""
         leaf = call.leaf
         address = leaf.address
         self.counts["connects"] += 1
@@ -268,7 +270,7 @@
                 connection = Connection(self, stream, leaf, address)
                 await connection.open(self._startup_parameters(), self.settings.password)
                 ready = True
-        except NoAnswerError as error:
+        except ConnectionRejectedError as error:
             result = _result_of_rejection(error)
         except ProtocolError as error:
             self.log.warning("leaf broke the protocol", leaf=leaf.name, error=str(error))
@@ -295,18 +297,18 @@
         }
 
     def _note_failed_connect(self, leaf, connection):
-        """Count a connection that was not made, also if it was cancelled; close what there is."""
+        """Record a connect that failed or was cancelled; close its stream if there is one."""
         leaf.open -= 1
         self.counts["connects_failed"] += 1
-        leaf.own.last_failed_us = int(trio.current_time() * 1e6)
+        leaf.local_evidence.last_failed_us = int(trio.current_time() * 1e6)
         if connection is not None:
             close_now(connection.stream)
 
     async def _request_cancel(self, leaf, connection):
-        """Ask the leaf to stop what runs on a connection, and close it.
+        """Send a cancel request for a connection, and close it.
 
-        The connection is never used again, so that a cancel that arrives late finds nothing of
-        anybody else's there.
+        The connection is not reused, so a cancel request that arrives late cannot cancel another
+        call.
         """
         leaf.cancels_in_flight += 1
         self.counts["cancels"] += 1
@@ -325,19 +327,21 @@
                 close_now(stream)
 
     async def _sweep(self):
-        """Close connections that nobody used for long."""
+        """Close connections whose idle timeout has expired."""
         while True:
             await trio.sleep(_SWEEP_INTERVAL_S)
-            before_s = trio.current_time() - self.settings.idle_s
+            used_before_s = trio.current_time() - self.settings.idle_s
             for leaf in self.leaves.values():
                 expired = [
-                    connection for connection in leaf.idle if connection.idle_since_s < before_s
+                    connection
+                    for connection in leaf.idle
+                    if connection.idle_since_s < used_before_s
                 ]
                 for connection in expired:
                     self.connection_lost(connection)
 
 
 def _result_of_rejection(error):
-    """Return how the attempts of a call end whose connection the leaf turned away."""
+    """Return the result of a call whose connection the leaf rejected."""
     found = outcomes.classify_error(error.fields.sqlstate)
     return interface.Result.REJECTED if found.fault is outcomes.Fault.QUERY else found.result
--- a/mothnotch/leaves/read_exchange.py
+++ b/mothnotch/leaves/read_exchange.py
@@ -1,4 +1,4 @@
-"""The exchange of a call that reads: its statements pipelined on one connection, without I/O."""
+"""Protocol of a read call: statements pipelined on one connection, without I/O."""
 
 from mothnotch.decisions import interface, outcomes
 from mothnotch.leaves.payload import Rows
@@ -6,24 +6,23 @@
 
 
 class ReadExchange:
-    """Attempts of one call, pipelined.
+    """The pipelined attempts of one call.
 
-    Each has a Sync of its own: an error in one leaves the others alone. `over`: whether the leaf
-    has answered them all.
+    Each statement is followed by its own Sync, so an error in one does not affect the others.
+    `is_complete`: whether the leaf has answered them all.
     """
 
     def __init__(self, attempts: list):
-        """Exchange the reads of these attempts, in their order."""
+        """Create an exchange that sends these attempts in order."""
         self.attempts = attempts
-        self.over = False
-        self._position = 0  # of the attempt that is answered next
+        self.is_complete = False
+        self._position = 0  # index of the attempt that is answered next
         self._error = None
         self._rows = Rows()
 
     def begin(self) -> bytes:
-        """Return the bytes to send."""
-        # Guards against a part whose query has ended while the connection was made: nothing of it
-        # may be sent.
+        """Return the bytes that start the exchange."""
+        # An attempt whose query ended while the connection was being made must not be sent.
         self.attempts = [attempt for attempt in self.attempts if not attempt.ended]
         return b"".join(
             client.statement(
@@ -36,16 +35,16 @@
         )
 
     def fail(self, result: interface.Result) -> None:
-        """End every attempt that is not answered yet: the connection is lost, or was never used."""
+        """End every unanswered attempt: the connection was lost or never used."""
         for attempt in self.attempts[self._position :]:
             attempt.complete(result)
 
-    def waits_only_for(self, attempt) -> bool:
-        """Return whether nothing else of it is waited for, so that its end is the exchange's."""
+    def is_only_pending(self, attempt) -> bool:
+        """Return whether no other attempt is pending, so that its end completes the exchange."""
         return all(other is attempt or other.ended for other in self.attempts)
 
     def receive(self, event) -> bytes:
-        """Take in one event; return bytes to send (none here)."""
+        """Process one event; return the bytes to send, always none."""
         attempt = self.attempts[self._position]
         kind = type(event)
         if kind is client.Row:
@@ -59,7 +58,7 @@
         return b""
 
     def _end_attempt(self, attempt):
-        """End the attempt that the leaf has answered, and go on to the next."""
+        """End the attempt that the leaf has answered and advance to the next."""
         if self._error is None:
             self._rows.rows = attempt.take_rows()
             attempt.complete(interface.Result.OK, self._rows)
@@ -72,4 +71,4 @@
         self._position += 1
         self._error = None
         self._rows = Rows()
-        self.over = self._position == len(self.attempts)
+        self.is_complete = self._position == len(self.attempts)
--- a/mothnotch/leaves/timeouts.py
+++ b/mothnotch/leaves/timeouts.py
@@ -1,7 +1,7 @@
-"""The deadlines of all attempts in flight, in one heap: an attempt costs no task and no scope.
+"""Deadlines of all attempts in flight, in one heap: no attempt needs its own task or cancel scope.
 
-Bound: what was sent within the longest attempt timeout. An attempt that has ended stays in the heap
-until its deadline.
+The heap holds the attempts sent within the longest attempt timeout: an attempt that has ended stays
+in it until its deadline.
 """
 
 import heapq
@@ -15,33 +15,33 @@
 
 
 class Timeouts:
-    """Calls `expired(attempt, now_s)` for each attempt that is still in flight at its deadline."""
+    """Calls `on_expired(attempt, now_s)` for each attempt that is in flight at its deadline."""
 
-    def __init__(self, expired: Callable):
-        """Call `expired` with an attempt and the time, in seconds on trio's clock."""
-        self._expired = expired
-        # (deadline in seconds, order of putting, attempt)
+    def __init__(self, on_expired: Callable):
+        """Call `on_expired` with an attempt and the current time, in seconds on trio's clock."""
+        self._on_expired = on_expired
+        # (deadline in seconds, order of insertion, attempt)
         self._heap = []
         self._order = itertools.count()
-        # Set when a deadline is put that is earlier than the one waited for.
-        self._earlier = trio.Event()
+        # Set when a deadline is added that is earlier than the one waited for.
+        self._earlier_added = trio.Event()
 
-    def put(self, attempt) -> None:
-        """Watch an attempt until it has ended or its deadline has come."""
+    def add(self, attempt) -> None:
+        """Watch an attempt until it ends or its deadline passes."""
         if not self._heap or attempt.deadline < self._heap[0][0]:
-            self._earlier.set()
+            self._earlier_added.set()
         heapq.heappush(self._heap, (attempt.deadline, next(self._order), attempt))
 
     async def run(self) -> None:
-        """Run until cancelled."""
+        """Expire attempts at their deadlines until cancelled."""
         while True:
-            self._earlier = trio.Event()
+            self._earlier_added = trio.Event()
             due_s = self._heap[0][0] if self._heap else math.inf
             with trio.move_on_at(due_s):
-                await self._earlier.wait()
+                await self._earlier_added.wait()
             await let_connections_read(due_s)
             now_s = trio.current_time()
             while self._heap and self._heap[0][0] <= now_s:
                 attempt = heapq.heappop(self._heap)[2]
                 if not attempt.ended:
-                    self._expired(attempt, now_s)
+                    self._on_expired(attempt, now_s)
--- a/mothnotch/logs.py
+++ b/mothnotch/logs.py
@@ -52,7 +52,7 @@
     )
 
 
-def silent():
+def null_logger():
     """A logger that drops everything: for runs that are judged by other means."""
 
     def drop(logger, method, event):
--- a/mothnotch/net/serving.py
+++ b/mothnotch/net/serving.py
@@ -11,15 +11,15 @@
     listeners: list,
     handler: Callable,
     nursery: trio.Nursery,
-    most: int | None = None,
-    turned_away: Callable | None = None,
-    failed: Callable | None = None,
+    max_connections: int | None = None,
+    reject: Callable | None = None,
+    on_accept_error: Callable | None = None,
 ) -> None:
     """Accept until cancelled, and run `handler(stream)` in the nursery for each connection.
 
-    Past `most` connections at once, `turned_away(stream)` is run instead of the handler. A failed
-    accept (no descriptors left, say) is reported by `failed(error)` and followed by a short pause:
-    it must not spin.
+    While `max_connections` connections are open, run `reject(stream)` instead of the handler. A
+    failed accept (for example, without free descriptors) is passed to `on_accept_error(error)` and
+    followed by a short pause, so that the loop does not spin.
     """
     open_connections = 0
 
@@ -38,16 +38,16 @@
             except trio.ClosedResourceError:
                 return
             except OSError as error:
-                if failed is not None:
-                    failed(error)
-                only_this_one = error.errno in FAILED_CONNECTION_ERRNOS
-                await trio.sleep(0 if only_this_one else ACCEPT_RETRY_PAUSE_S)
+                if on_accept_error is not None:
+                    on_accept_error(error)
+                is_connection_error = error.errno in FAILED_CONNECTION_ERRNOS
+                await trio.sleep(0 if is_connection_error else ACCEPT_RETRY_PAUSE_S)
                 continue
-            if most is not None and open_connections >= most:
-                nursery.start_soon(turned_away, stream)
+            if max_connections is not None and open_connections >= max_connections:
+                nursery.start_soon(reject, stream)
             else:
                 nursery.start_soon(run_handler, stream)
 
-    async with trio.open_nursery() as accepting:
+    async with trio.open_nursery() as accept_nursery:
         for listener in listeners:
-            accepting.start_soon(accept, listener)
+            accept_nursery.start_soon(accept, listener)
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -140,7 +140,7 @@
                 attempt.complete(Result.UNREACHABLE)
             return
         for attempt in attempts:
-            self.timeouts.put(attempt)
+            self.timeouts.add(attempt)
         max_parts_per_call = self.context.max_parts_per_call
         for first in range(0, len(attempts), max_parts_per_call):
             self.enqueue(leaf, attempts[first : first + max_parts_per_call])
@@ -266,7 +266,7 @@
 
     # ---- health checks ----
 
-    def probe(self, name: str, post):
+    def check_health(self, name: str, post):
         """Request a load report from a leaf and pass the result to `post`.
 
         The request uses an established connection; without one the result is UNSENT.
--- a/mothnotch/node/frontend.py
+++ b/mothnotch/node/frontend.py
@@ -35,7 +35,10 @@
             task_status.started()
             with self.accept_scope:
                 await serve(
-                    listeners, self._serve_client, self.nursery, failed=self._on_accept_failed
+                    listeners,
+                    self._serve_client,
+                    self.nursery,
+                    on_accept_error=self._on_accept_failed,
                 )
             await trio.sleep_forever()
 
--- a/mothnotch/root/actions.py
+++ b/mothnotch/root/actions.py
@@ -158,7 +158,7 @@
 
     def check_health(self, action: HealthCheck):
         """Send a server a health check."""
-        self._core.leaves.probe(action.server, self._core.post)
+        self._core.leaves.check_health(action.server, self._core.post)
 
     def disconnect(self, action: Disconnect):
         """Close the idle connections to a server."""
--- a/mothnotch/root/endpoint_file.py
+++ b/mothnotch/root/endpoint_file.py
@@ -130,7 +130,7 @@
     def _notify(self, entries):
         # A removed leaf keeps its pool until its calls have ended. A leaf without an address gets
         # no new calls.
-        self.leaves.follow(
+        self.leaves.update_endpoints(
             {leaf.name: leaf.address for leaf in entries if leaf.state != "removed"},
             {leaf.name for leaf in entries if leaf.state != "up"},
         )
--- a/mothnotch/studies/catalogue.py
+++ b/mothnotch/studies/catalogue.py
@@ -19,7 +19,7 @@
 from mothnotch.consul import api
 from mothnotch.consul.watch import ConsulWatch
 from mothnotch.decisions.leaf_membership.membership import LeafMembership
-from mothnotch.leaves.pool import Leaves
+from mothnotch.leaves.pool import LeafPools
 from mothnotch.net.memory import MemoryNetwork
 from mothnotch.standins.consul import Catalogue, ConsulAgent
 
@@ -336,9 +336,9 @@
                     conf.consul.membership(8, 2),
                     me,
                     core,
-                    Leaves(network, conf.pool(), logs.silent()),
+                    LeafPools(network, conf.pool(), logs.null_logger()),
                     network,
-                    logs.silent(),
+                    logs.null_logger(),
                     None,
                     random.Random(me).random,
                 )
