--- a/mothnotch/daemon.py
+++ b/mothnotch/daemon.py
@@ -17,7 +17,7 @@
 from mothnotch.fronts.pg import PgFrontend
 from mothnotch.fronts.session import Service
 from mothnotch.leaves.pool import LeafPools
-from mothnotch.merge.holding import Holding
+from mothnotch.merge.row_storage import RowStorage
 from mothnotch.net import parse_address
 from mothnotch.peers.peer_discovery import ADDRESS_META_KEY, PeerDiscovery
 from mothnotch.peers.service import PeerService
@@ -88,7 +88,7 @@
             self.leaves,
             self.log,
             self.config.root.most_queries,
-            Holding(MemoryBudget(memory.limit_bytes, memory.disk_bytes), memory.directory),
+            RowStorage(MemoryBudget(memory.limit_bytes, memory.disk_bytes), memory.directory),
         )
 
     def _make_peers(self) -> PeerService:
--- a/mothnotch/merge/__init__.py
+++ b/mothnotch/merge/__init__.py
@@ -1,3 +1,4 @@
-"""Merging rows within memory fixed in advance: sorted merge, external sort, groups, runs on disk.
-Knows no SQL.
+"""Merge rows within a fixed memory budget: sorted merge, external sort, grouping, runs on disk.
+
+This package does not depend on SQL.
 """
--- a/mothnotch/merge/groups.py
+++ b/mothnotch/merge/groups.py
@@ -1,79 +1,88 @@
-"""Partial aggregates merged by group, within a Room: a table in memory, sorted runs of it on disk
-past its share.
+"""Merge partial aggregates by group within a QueryStorage.
+
+Groups are kept in a table in memory, which is written to disk as a sorted run when the query's
+share of memory is used up.
 """
 
 from mothnotch.merge.runs import BLOCK_ITEMS
-from mothnotch.merge.sorting import FAN, merge
+from mothnotch.merge.sorting import MERGE_FAN_IN, merge
 
-GROUP_BYTES = 320  # of a group's key tuple, state list and place in the table, about
+# Approximate size of a group's key tuple, state list and table entry.
+GROUP_BYTES = 320
+# Approximate size of each value of the key and each state.
 VALUE_BYTES = 56
 
 
 class Groups:
-    """`add(state, other)` merges two lists of states into the first; `canon(key)` gives bytes,
-    equal for equal keys.
-    """
+    """Collect partial groups and iterate over the merged ones."""
+
+    def __init__(self, storage, merge_states, encode_key):
+        """Start without groups.
 
-    def __init__(self, room, add, canon):
-        self.room, self.merge_states, self.canon, self.table, self.bytes, self.runs = (
-            room,
-            add,
-            canon,
+        `merge_states(states, other)` merges two lists of states into the first one.
+        `encode_key(key)` returns bytes that are equal for equal keys.
+        """
+        self.storage, self.merge_states, self.encode_key, self.table, self.bytes, self.runs = (
+            storage,
+            merge_states,
+            encode_key,
             {},
             0,
             [],
         )
 
     def put(self, key, states):
-        """Merges one partial group in."""
+        """Add one partial group, merging it with the states already stored for its key."""
         found = self.table.get(key)
         if found is not None:
             self.merge_states(found, states)
             return
-        n = (
+        size = (
             GROUP_BYTES
             + VALUE_BYTES * (len(key) + len(states))
             + sum(len(v) for v in key if isinstance(v, (bytes, str)))
         )
-        if not self.room.hold(n):
+        if not self.storage.reserve_memory(size):
             self.spill()
-            if not self.room.hold(n):
-                self.write([(self.canon(key), key, states)])
+            if not self.storage.reserve_memory(size):
+                self.write_run([(self.encode_key(key), key, states)])
                 return
         self.table[key] = states
-        self.bytes += n
+        self.bytes += size
 
     def spill(self):
+        """Write the table to disk as a sorted run and release its memory."""
         if self.table:
-            self.write(
-                sorted(((self.canon(k), k, s) for k, s in self.table.items()), key=canonical)
+            self.write_run(
+                sorted(((self.encode_key(k), k, s) for k, s in self.table.items()), key=encoded_key)
             )
-            self.room.let_go(self.bytes)
+            self.storage.release_memory(self.bytes)
             self.table, self.bytes = {}, 0
 
-    def write(self, items):
-        run = self.room.run()
-        for at in range(0, len(items), BLOCK_ITEMS):
-            run.put(items[at : at + BLOCK_ITEMS])
+    def write_run(self, items):
+        """Write sorted items to a new run; merge the oldest runs if there are too many."""
+        run = self.storage.new_run()
+        for start in range(0, len(items), BLOCK_ITEMS):
+            run.write_block(items[start : start + BLOCK_ITEMS])
         self.runs.append(run)
-        if len(self.runs) >= 2 * FAN:
-            old, self.runs = self.runs[:FAN], self.runs[FAN:]
-            joined, block = self.room.run(), []
-            for item in self.merged([r.read() for r in old]):
+        if len(self.runs) >= 2 * MERGE_FAN_IN:
+            old, self.runs = self.runs[:MERGE_FAN_IN], self.runs[MERGE_FAN_IN:]
+            joined, block = self.storage.new_run(), []
+            for item in self.merged([r.read_blocks() for r in old]):
                 block.append(item)
                 if len(block) >= BLOCK_ITEMS:
-                    joined.put(block)
+                    joined.write_block(block)
                     block = []
             if block:
-                joined.put(block)
+                joined.write_block(block)
             for r in old:
-                self.room.drop(r)
+                self.storage.remove_run(r)
             self.runs.insert(0, joined)
 
     def merged(self, streams):
-        """Items of sorted streams with equal keys made one."""
+        """Yield the items of sorted streams, merging those with equal keys into one."""
         last = None
-        for block in merge(streams, canonical):
+        for block in merge(streams, encoded_key):
             for item in block:
                 if last is not None and last[0] == item[0]:
                     self.merge_states(last[2], item[2])
@@ -85,16 +94,20 @@
             yield last
 
     def __iter__(self):
-        """(key, states) of every group: in order of arrival while nothing was spilled, else in that
-        of `canon`.
+        """Yield (key, states) of every group.
+
+        The order is that of arrival if nothing was spilled, else that of the encoded keys.
         """
         if not self.runs:
             yield from self.table.items()
             return
-        held = sorted(((self.canon(k), k, s) for k, s in self.table.items()), key=canonical)
-        for _, key, states in self.merged([*(run.read() for run in self.runs), [held]]):
+        in_memory = sorted(
+            ((self.encode_key(k), k, s) for k, s in self.table.items()), key=encoded_key
+        )
+        for _, key, states in self.merged([*(run.read_blocks() for run in self.runs), [in_memory]]):
             yield key, states
 
 
-def canonical(item):
+def encoded_key(item):
+    """Return the encoded key of an (encoded key, key, states) item."""
     return item[0]
--- a/mothnotch/merge/sorting.py
+++ b/mothnotch/merge/sorting.py
@@ -1,34 +1,37 @@
-"""Merging sorted streams and sorting unsorted ones, within a Room.
+"""Merge sorted streams and sort unsorted ones within a QueryStorage.
 
-The merge is heapq.merge over checked blocks. A tree of losers and a merge block by block with
-Python's sort were weighed against it (benchmarks/merge.py, docs/merging.md) and did not beat it.
+The merge is heapq.merge over blocks whose order is checked. A loser tree and a block-wise merge
+with Python's sort were not faster (benchmarks/merge.py, docs/merging.md).
 """
 
 import heapq
 from itertools import islice
 
 from mothnotch.merge.runs import BLOCK_ITEMS, blocks
-from mothnotch.merge.spool import cost
+from mothnotch.merge.spool import memory_size
 
-FAN = 64  # runs merged at once; more are merged in passes
+# Number of runs merged at once; more are merged in several passes.
+MERGE_FAN_IN = 64
 
 
 class OutOfOrderError(Exception):
-    """A stream that was said to be sorted is not."""
+    """An input stream of a merge is not sorted."""
 
 
 def merge(streams, key):
-    """Blocks of items in order, from sorted streams of blocks; stable: items with equal keys come
-    in the order of the streams. `key` gives something comparable. Holds one block of each stream;
-    OutOfOrder if one is not sorted.
+    """Yield blocks of the items of sorted streams of blocks, in order.
+
+    The merge is stable: items with equal keys are in the order of the streams. `key(item)` returns
+    a comparable value. One block of each stream is kept in memory. Raise OutOfOrderError if a
+    stream is not sorted.
     """
-    merged = heapq.merge(*(checked(stream, key) for stream in streams), key=first)
+    merged = heapq.merge(*(keyed_items(stream, key) for stream in streams), key=pair_key)
     while block := [item for _, item in islice(merged, BLOCK_ITEMS)]:
         yield block
 
 
-def checked(stream, key):
-    """(key, item) pairs of a stream of blocks."""
+def keyed_items(stream, key):
+    """Yield (key, item) for a stream of blocks; raise OutOfOrderError if it is not sorted."""
     last = ()
     for block in stream:
         keys = [key(item) for item in block]
@@ -38,19 +41,23 @@
         yield from zip(keys, block, strict=True)
 
 
-def first(pair):
+def pair_key(pair):
+    """Return the key of a (key, item) pair."""
     return pair[0]
 
 
-class Losers:
-    """A tree of losers over sorted iterators (Knuth, The Art of Computer Programming 3, 5.4.1): for
-    comparison.
+class LoserTree:
+    """Iterate over the merged items of sorted iterators with a loser tree.
+
+    D. E. Knuth, The Art of Computer Programming 3, section 5.4.1. Used only in a benchmark, for
+    comparison with `merge`.
     """
 
     def __init__(self, streams, key):
+        """Read the first item of each stream and build the tree."""
         self.streams, self.key = [iter(s) for s in streams], key
         self.n = n = max(1, len(self.streams))
-        self.head = [self.next(k) for k in range(len(self.streams))] or [None]
+        self.heads = [self.next(k) for k in range(len(self.streams))] or [None]
         self.tree = [0] * n
         winners = [0] * n + list(range(n))
         for node in range(n - 1, 0, -1):
@@ -59,19 +66,21 @@
         self.winner = winners[1] if n > 1 else 0
 
     def next(self, k):
+        """Return (key, item) of the next item of stream `k`, or None at its end."""
         for item in self.streams[k]:
             return self.key(item), item
         return None
 
     def before(self, a, b):
-        x, y = self.head[a], self.head[b]
+        """Return whether the head of stream `a` precedes that of stream `b`."""
+        x, y = self.heads[a], self.heads[b]
         return y is None or x is not None and (x[0] < y[0] or x[0] == y[0] and a < b)
 
     def __iter__(self):
-        while self.head[self.winner] is not None:
+        while self.heads[self.winner] is not None:
             k = self.winner
-            yield self.head[k][1]
-            self.head[k] = self.next(k)
+            yield self.heads[k][1]
+            self.heads[k] = self.next(k)
             node = (k + self.n) // 2
             while node:
                 if self.before(self.tree[node], k):
@@ -81,13 +90,14 @@
 
 
 class Sorter:
-    """Sorts rows that come in any order; stable. What has no room goes to disk in sorted runs."""
+    """Stable external sort: rows that do not fit in memory are written to disk in sorted runs."""
 
     def __init__(
-        self, room, key, size=lambda row: sum(len(v) for v in row if isinstance(v, bytes))
+        self, storage, key, size=lambda row: sum(len(v) for v in row if isinstance(v, bytes))
     ):
-        self.room, self.key, self.size, self.rows, self.bytes, self.runs = (
-            room,
+        """Start without rows; `size(row)` returns the bytes of a row's contents."""
+        self.storage, self.key, self.size, self.rows, self.bytes, self.runs = (
+            storage,
             key,
             size,
             [],
@@ -96,46 +106,52 @@
         )
 
     def add(self, row):
-        n = cost(row, self.size(row))
-        if not self.room.hold(n):
+        """Add a row; raise SpillError if neither memory nor disk has space."""
+        row_bytes = memory_size(row, self.size(row))
+        if not self.storage.reserve_memory(row_bytes):
             self.spill()
-            if not self.room.hold(n):
-                # Not even one row fits beside what others hold: it goes to disk by itself.
-                self.put([row])
+            if not self.storage.reserve_memory(row_bytes):
+                # Not even one row fits within the budget: it is written to disk alone.
+                self.write_run([row])
                 return
         self.rows.append(row)
-        self.bytes += n
+        self.bytes += row_bytes
 
     def spill(self):
+        """Write the rows in memory to disk as a sorted run and release their memory."""
         if self.rows:
             self.rows.sort(key=self.key)
-            self.put(self.rows)
-            self.room.let_go(self.bytes)
+            self.write_run(self.rows)
+            self.storage.release_memory(self.bytes)
             self.rows, self.bytes = [], 0
 
-    def put(self, rows):
-        run = self.room.run()
-        for at in range(0, len(rows), BLOCK_ITEMS):
-            run.put(rows[at : at + BLOCK_ITEMS])
+    def write_run(self, rows):
+        """Write sorted rows to a new run; merge the oldest runs if there are too many."""
+        run = self.storage.new_run()
+        for start in range(0, len(rows), BLOCK_ITEMS):
+            run.write_block(rows[start : start + BLOCK_ITEMS])
         self.runs.append(run)
-        if len(self.runs) >= 2 * FAN:
+        if len(self.runs) >= 2 * MERGE_FAN_IN:
             self.join()
 
     def join(self):
-        """Merges the oldest runs into one, so that never too many files are open."""
-        old, self.runs = self.runs[:FAN], self.runs[FAN:]
-        run = self.room.run()
-        for block in merge([r.read() for r in old], self.key):
+        """Merge the oldest runs into one, which bounds the number of open files."""
+        old, self.runs = self.runs[:MERGE_FAN_IN], self.runs[MERGE_FAN_IN:]
+        run = self.storage.new_run()
+        for block in merge([r.read_blocks() for r in old], self.key):
             for piece in blocks(block):
-                run.put(piece)
+                run.write_block(piece)
         for r in old:
-            self.room.drop(r)
+            self.storage.remove_run(r)
         self.runs.insert(0, run)
 
     def blocks(self):
-        """The rows in order, in lists."""
+        """Yield the rows in order, in lists."""
         self.rows.sort(key=self.key)
-        while len(self.runs) > FAN:
+        while len(self.runs) > MERGE_FAN_IN:
             self.join()
-        held = (self.rows[at : at + BLOCK_ITEMS] for at in range(0, len(self.rows), BLOCK_ITEMS))
-        yield from merge([*(run.read() for run in self.runs), held], self.key)
+        in_memory = (
+            self.rows[start : start + BLOCK_ITEMS]
+            for start in range(0, len(self.rows), BLOCK_ITEMS)
+        )
+        yield from merge([*(run.read_blocks() for run in self.runs), in_memory], self.key)
--- a/mothnotch/root/core.py
+++ b/mothnotch/root/core.py
@@ -211,7 +211,7 @@
     def storage_of(self, query: Query) -> object:
         """Return the storage for a query's rows, created on the first call."""
         if query.storage is None:
-            query.storage = self.row_storage.room(query.id, query.request.priority_weight)
+            query.storage = self.row_storage.open_query(query.id, query.request.priority_weight)
         return query.storage
 
     # ---- called by the other modules of this package ----
--- a/mothnotch/sql/gather.py
+++ b/mothnotch/sql/gather.py
@@ -1,7 +1,7 @@
 """Combine the parts' rows: merge order, DISTINCT, groups, HAVING, LIMIT and OFFSET.
 
 Small results are combined in lists. Where the parts returned more than IN_MEMORY_LIMIT_BYTES in
-total, in memory and on disk, the result is a stream of blocks, within the query's Room
+total, in memory and on disk, the result is a stream of blocks, within the query's QueryStorage
 (mothnotch/merge). It has the same rows, in an order that differs at most where ORDER BY leaves the
 order open.
 """
--- a/mothnotch/studies/merging.py
+++ b/mothnotch/studies/merging.py
@@ -18,7 +18,7 @@
 
 from mothnotch import demo, net
 from mothnotch.decisions.memory_budget import MemoryBudget
-from mothnotch.merge.runs import Room
+from mothnotch.merge.runs import QueryStorage
 from mothnotch.merge.sorting import Sorter, merge
 from mothnotch.merge.spool import Spool
 from mothnotch.standins.client import Client
@@ -56,7 +56,7 @@
     base, peak, begun, count, last, looked = rss(), 0, time.perf_counter(), 0, b"", 0
     budget = MemoryBudget(LIMIT, 8 << 30)
     budget.open("q", 1.0)
-    room = Room(budget, "q")
+    room = QueryStorage(budget, "q")
     each = total // parts
     if way == "plain":
         held = [list(rows_of(n, each, "merge")) for n in range(parts)]
