--- a/mothnotch/decisions/balancer/discovery.py
+++ b/mothnotch/decisions/balancer/discovery.py
@@ -47,9 +47,8 @@
             self._turn.emit(Subscribe())
         for endpoint in event.entries:
             self._update(endpoint)
-        if (
-            event.kind is not WatchEventKind.DELTA
-        ):  # a whole list: a server not in it has been removed
+        # A whole list: a server that is not in it has been removed.
+        if event.kind is not WatchEventKind.DELTA:
             listed = {endpoint.server for endpoint in event.entries}
             for server in self.servers.values():
                 server.up = server.up and server.id in listed
--- a/mothnotch/decisions/balancer/predictor.py
+++ b/mothnotch/decisions/balancer/predictor.py
@@ -11,7 +11,8 @@
 HISTORY_LENGTH = 3  # answers in a server's history; the paper found this enough
 
 # Latency and parts in flight may only raise the predicted probability of a busy period, throughput
-# may only lower it. Without these bounds a few dozen unusual answers taught the model the opposite.
+# may only lower it. Without these bounds a day of unusual answers taught the model the opposite; at
+# one of many roots, a few dozen labels taught it that many parts in flight mean a fast server.
 NOT_NEGATIVE = (0.0, math.inf)
 NOT_POSITIVE = (-math.inf, 0.0)
 ANY_SIGN = (-math.inf, math.inf)
--- a/mothnotch/decisions/balancer/records.py
+++ b/mothnotch/decisions/balancer/records.py
@@ -53,7 +53,7 @@
         self.in_flight = {}  # attempts by number
         self.reconnect_to = None  # server that reset an idle connection on which the part was sent
         self.retry_is_charged = False  # its next attempt has been charged to the retry budget
-        self.is_held = False  # its server died; waits until the key of its query is cleared
+        self.is_held = False  # its server died; see `Retries.release_held_parts`
         self.may_have_run_us = []  # send times of the attempts that may have run
         self.is_answered = False
         self.is_lost = False
--- a/mothnotch/decisions/balancer/slow_start.py
+++ b/mothnotch/decisions/balancer/slow_start.py
@@ -42,8 +42,9 @@
     def admits(self, now_us: int, work_us: float) -> bool:
         """Return whether the server may get this much work now.
 
-        Within the window it gets this root's share of the server's guaranteed capacity at its age.
-        Beyond that, a part is sent once the credit accrued since the last send covers it.
+        Within the window it gets this root's share of the server's guaranteed capacity at its age,
+        where a warm server counts as one core. Beyond that, a part is sent once the credit accrued
+        since the last send covers it.
         """
         age_us = now_us - self.started_us
         if not self.started_us or age_us >= self._rules.slow_start_us:
--- a/mothnotch/decisions/interface.py
+++ b/mothnotch/decisions/interface.py
@@ -79,7 +79,7 @@
 
     @property
     def retry_window_us(self) -> float:
-        """For how long after a send that may have run a part may be retried; 0: not at all."""
+        """How long after a send that may have run the part may be sent again; 0: never."""
         if self.idempotency is Idempotency.WITH_KEY:
             return self.idempotency_window_us or 0
         return math.inf if self.idempotency is Idempotency.IDEMPOTENT else 0
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -27,7 +27,7 @@
 class ConnectionPool:
     """All leaves and the connections to them.
 
-    The core uses `send`, `disconnect` and `probe`.
+    The core uses `send`, `disconnect` and `check_health`.
     """
 
     def __init__(
@@ -46,8 +46,8 @@
         `max_streams`: how many parts of one connection a leaf processes concurrently.
         `max_parts_per_call`: the maximum number of parts in one call frame. `max_connections`: the
         maximum number of connections to all leaves. `idle_timeout_s`: after which an idle
-        connection is closed. `hedging_allowed`: whether two attempts of one part may be at leaves
-        at the same time.
+        connection is closed. `connect_timeout_s`: the maximum time to establish a connection.
+        `hedging_allowed`: whether two attempts of one part may be at leaves at the same time.
         """
         self.max_in_flight = connection_policy.max_in_flight(max_streams)
         self.context = CallContext(
--- a/mothnotch/node/request_handler.py
+++ b/mothnotch/node/request_handler.py
@@ -57,8 +57,8 @@
             self._trace_request(client, request)
 
     def shorten_deadline(self, client: ClientConnection, data: bytes, at_s: float):
-        """Shorten the deadline of an open request to that of the requests in `data`, which are
-        queued behind it until it is answered.
+        """Shorten the deadline of an open request if requests in `data`, received at `at_s`, are
+        queued behind it: the shortest of their timeouts bounds the wait for its answer.
         """
         if client.query is None:
             return
--- a/mothnotch/root/dispatcher.py
+++ b/mothnotch/root/dispatcher.py
@@ -14,7 +14,8 @@
 from mothnotch.root.clock import now_us
 from mothnotch.root.request_table import Query
 
-# Delays each timer slightly: one that fires early does nothing, and the balancer sets no other.
+# Delays each timer slightly: one that fires early finds no call due, and the balancer, which still
+# expects that wake-up, sets no other.
 TIMER_SLACK_US = 2
 
 
