--- a/mothnotch/decisions/balancer/attempt_results.py
+++ b/mothnotch/decisions/balancer/attempt_results.py
@@ -64,8 +64,8 @@
             self._retry(part, result, was_idle_reset)
 
     def _record_idle_outcome(self, attempt, result, latency_us):
-        # Only a connection lost in silence counts: it costs the part the latency objective, whereas
-        # a reset is noticed at once.
+        # Only a loss without a response counts: waiting costs the part its latency objective,
+        # whereas a reset is noticed at once.
         if attempt.idle_us < IDLE_US:
             return
         is_lost = result is Result.TIMEOUT
--- a/mothnotch/decisions/balancer/retry_limits.py
+++ b/mothnotch/decisions/balancer/retry_limits.py
@@ -7,8 +7,8 @@
 from mothnotch.decisions.sliding_window import SlidingWindow
 from mothnotch.decisions.token_bucket import TokenBucket
 
-# Retry tokens where the rules state no budget: earned for each part, and held at most. Without them
-# retries would cause a storm when all servers are slow.
+# Retry tokens, where the rules state no budget: each part earns the first number, and at most the
+# second is held. Without them retries would cause a storm when all servers are slow.
 TOKENS_PER_PART = 0.2
 TOKENS_BURST = 20
 
--- a/mothnotch/decisions/interface.py
+++ b/mothnotch/decisions/interface.py
@@ -1,7 +1,7 @@
 """The interface of the decisions: settings, events and actions.
 
-A root takes a query and needs one answer from each of several shards. Each part of the query asks
-one shard; the servers that hold a shard are its replicas. A part may have several attempts, and
+A root takes a query and needs one answer from each of several shards. Each part of the query is
+for one shard; the servers that hold a shard are its replicas. A part may have several attempts, and
 each attempt ends with exactly one outcome. All times are microseconds on the caller's own clock.
 This module makes no decision and holds no tuned value.
 
--- a/mothnotch/node/connection_pool.py
+++ b/mothnotch/node/connection_pool.py
@@ -3,7 +3,8 @@
 The result of a failed attempt depends on whether the socket accepted the last byte of its frame:
 before that the attempt never ran (UNREACHABLE), afterwards it may have (BROKEN, TIMEOUT). Bounds:
 `max_in_flight` parts on a connection, counting queued, in-flight and abandoned ones, and
-`max_connections` in all. An attempt beyond them completes as UNSENT, and the balancer decides anew.
+`max_connections` in all. An attempt beyond them completes as UNSENT, and the balancer then retries
+its part or gives it up.
 """
 
 import trio
@@ -115,7 +116,7 @@
                 self._retire_connections(leaf)
 
     def _withdraw_unsent(self, leaf):
-        """Complete a leaf's unsent attempts as UNSENT, so that the balancer decides them anew."""
+        """Complete a leaf's unsent attempts as UNSENT, so that their parts are placed again."""
         for connection in list(leaf.connections):
             connection.requeue_unsent()
             connection.complete_queued(Result.UNSENT)
--- a/mothnotch/root/attempt.py
+++ b/mothnotch/root/attempt.py
@@ -67,7 +67,7 @@
     def deadline(self) -> float:
         """The time at which the attempt times out, in seconds of trio's clock.
 
-        The leaf is told this deadline; it is never later than the client's.
+        It is sent to the leaf, and is never later than the client's deadline.
         """
         return min(self.dispatched_us + self.timeout_us, self.part.query.request.deadline_us) / 1e6
 
--- a/mothnotch/root/core.py
+++ b/mothnotch/root/core.py
@@ -245,6 +245,6 @@
     def mean_work_us(self) -> float:
         """Return the balancer's estimate of the mean work of a part, including that of its call."""
         known = self.balancer.work_estimates.by_class.values()
-        usual_us = self.balancer.longest_objective_us / 10
-        work_us = sum(known) / len(known) if known else usual_us
+        default_us = self.balancer.longest_objective_us / 10
+        work_us = sum(known) / len(known) if known else default_us
         return work_us + self.settings.call_overhead_us
